--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -27,8 +27,8 @@
 
 
 class Lease:
-    def __init__(self, desk, keepers, changed=lambda: None):
-        self.desk = desk
+    def __init__(self, environment, keepers, changed=lambda: None):
+        self.environment = environment
         self.keepers = keepers  # () -> addresses that may know the leader
         self.changed = changed
         self.leader = ""
@@ -38,9 +38,9 @@
         self.active, self.staged = 0, 0
         self.until = 0.0
         self.view = (0, 0.0, None)  # (active, until, document), read by other threads
-        self.mark = int(desk.now() * constants.MARKS_A_SECOND)  # of the last ask; no life before used the same
-        self.asked, self.responded = {}, desk.now()  # mark -> when it was asked; when the leader last answered
-        self.started = desk.now()
+        self.mark = int(environment.now() * constants.MARKS_A_SECOND)  # of the last ask; no life before used the same
+        self.asked, self.responded = {}, environment.now()  # mark -> when it was asked; when the leader last answered
+        self.started = environment.now()
         self.number = 0  # latest news number
         self.turn = 0
         self.asked_at = -constants.ASK_BEAT  # when it last asked
@@ -49,27 +49,29 @@
         self.staged_at: dict[int, float] = {}  # sequence -> when its document came
         self.reports = ring.Allowance(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
         for kind in ("grant", "news", "look_elsewhere"):
-            desk.hear(kind, getattr(self, "on_" + kind), 0)
-        desk.post(self.tick)
+            environment.subscribe(kind, getattr(self, "on_" + kind), 0)
+        environment.post(self.tick)
 
     def tick(self):
         self.ask()
         busy = self.staged > self.active
-        self.next_tick = self.desk.beat(constants.ASK_BEAT_SHORT if busy else constants.ASK_BEAT, self.tick)
+        self.next_tick = self.environment.call_later(
+            constants.ASK_BEAT_SHORT if busy else constants.ASK_BEAT, self.tick
+        )
 
     def renew_soon(self) -> None:
         """Ask at once, or one short interval after the last time: a short lease runs out before the usual one."""
         if not self.next_tick:  # the first tick is still to come
             return
         self.next_tick.cancel()
-        wait = self.asked_at + constants.ASK_BEAT_SHORT - self.desk.now()
+        wait = self.asked_at + constants.ASK_BEAT_SHORT - self.environment.now()
         if wait > 0:
-            self.next_tick = self.desk.beat(wait, self.tick)
+            self.next_tick = self.environment.call_later(wait, self.tick)
         else:
             self.tick()
 
     def ask(self):
-        now = self.desk.now()
+        now = self.environment.now()
         if now - self.responded > 2 * constants.ASK_BEAT:
             self.leader = ""
         self.mark += 1
@@ -77,7 +79,7 @@
         self.asked.pop(self.mark - 50, None)
         self.asks.sent += 1
         for goal in [self.leader] if self.leader else self.some_keepers():
-            self.desk.tell(
+            self.environment.send(
                 goal,
                 "ask",
                 part=0,
@@ -97,14 +99,14 @@
         self.asks.redirected += 1
         if body["leader"] and body["leader"] != self.leader:
             self.leader = body["leader"]
-            self.responded = self.desk.now()
+            self.responded = self.environment.now()
             self.ask()
 
     def on_grant(self, sender, body):
         asked = self.asked.pop(body["mark"], None)
         if asked is None:
             return
-        self.responded = self.desk.now()
+        self.responded = self.environment.now()
         self.leader = sender
         self.stage(self.documents(body), sender, body["number"])
         if body["active"] < self.active:
@@ -123,7 +125,7 @@
         self.show()
 
     def on_news(self, sender, body):
-        self.responded = self.desk.now()
+        self.responded = self.environment.now()
         self.leader = sender
         self.stage(self.documents(body), sender, body["number"])
         self.activate(body["active"])
@@ -162,13 +164,13 @@
         for sequence, doc in docs:
             self.docs[sequence] = doc
             self.takes_changes = True
-            self.staged_at.setdefault(sequence, self.desk.now())
+            self.staged_at.setdefault(sequence, self.environment.now())
             self.staged = max(self.staged, sequence)
         if self.staged > self.active:
-            self.until = min(self.until, self.desk.now() + constants.LEASE_SHORT)
+            self.until = min(self.until, self.environment.now() + constants.LEASE_SHORT)
             self.show()
         if docs:
-            self.desk.tell(sender, "news_ack", part=0, number=number, staged=self.staged)
+            self.environment.send(sender, "news_ack", part=0, number=number, staged=self.staged)
         if self.staged > self.active and not was_busy:
             self.renew_soon()
 
@@ -184,14 +186,14 @@
 
     def note_version(self, former: int) -> None:
         """Report that another version is in force here, and how long its document waited for that."""
-        staged_s = round(self.desk.now() - self.staged_at[self.active], 3)
+        staged_s = round(self.environment.now() - self.staged_at[self.active], 3)
         self.staged_at = {s: at for s, at in self.staged_at.items() if s > self.active}
         fields = {"sequence": self.active, "former": former, "staged_s": staged_s, "leader": self.leader}
         ring.report_within(self.reports, "version_in_force", **fields)
 
     def note_gap(self, until: float) -> None:
         """Report how long no lease ran, if this one ends such a time; counted from the start for the first."""
-        now = self.desk.now()
+        now = self.environment.now()
         missing = now - max(self.until, self.started)
         if until > now and missing > constants.LEASE_GAP:
             fields = dataclasses.asdict(self.asks) | {"sequence": self.active, "leader": self.leader}
@@ -208,7 +210,7 @@
     def sequence(self):
         """The sequence to serve under now, or None."""
         active, until, doc = self.view
-        return active if doc is not None and self.desk.now() < until else None
+        return active if doc is not None and self.environment.now() < until else None
 
     def document(self):
         return self.view[2]
@@ -216,4 +218,4 @@
     def current(self) -> tuple[int | None, dict[str, typing.Any] | None]:
         """(sequence to serve under now or None, its document), both of one moment."""
         active, until, doc = self.view
-        return (active, doc) if doc is not None and self.desk.now() < until else (None, doc)
+        return (active, doc) if doc is not None and self.environment.now() < until else (None, doc)
--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -22,7 +22,7 @@
 class ConfigDuty:
     def __init__(self, member, bounds=None):
         self.bounds = bounds or lease_bounds.LeaseBounds()
-        self.member, self.machine, self.desk = member, member.machine, member.desk
+        self.member, self.machine, self.environment = member, member.machine, member.environment
         self.on = False
         self.delivery = document_delivery.DocumentDelivery(lambda: self.machine.docs)
         self.holders = {}  # address -> leaseholder.Leaseholder
@@ -35,8 +35,8 @@
         self.withheld = 0  # the newest sequence for which no lease of an older one was granted
         member.duties.append(self)
         self.machine.changed = self.changed
-        self.desk.hear("ask", self.on_ask, 0)
-        self.desk.hear("news_ack", self.on_news_ack, 0)
+        self.environment.subscribe("ask", self.on_ask, 0)
+        self.environment.subscribe("news_ack", self.on_news_ack, 0)
 
     def start(self):
         self.on, self.asking = True, False
@@ -45,11 +45,11 @@
         inherited = {s: index for s, index in self.machine.staged_index.items() if s > self.machine.active}
         self.staged_at = {s: self.committed_since(index) for s, index in inherited.items()}
         self.number = self.member.log.term * 1000000
-        self.started = self.desk.now()
+        self.started = self.environment.now()
         self.activates_from = self.member.former_leases_end(self.bounds.long_s)
         for address, (at, mark) in self.lost.items():
             if at > self.started - constants.LEASE_LONG:
-                self.desk.tell(address, "look_elsewhere", part=0, mark=mark, leader=self.desk.address)
+                self.environment.send(address, "look_elsewhere", part=0, mark=mark, leader=self.environment.address)
         self.lost = {}
         self.tick()
 
@@ -64,13 +64,13 @@
     def tick(self):
         if self.on:
             self.try_activate()
-            self.desk.beat(constants.LEASE_SHORT / 4, self.tick)
+            self.environment.call_later(constants.LEASE_SHORT / 4, self.tick)
 
     def changed(self, kind, sequence):
         if not self.on:
             return
         if kind == "stage":
-            self.staged_at[sequence] = self.desk.now()
+            self.staged_at[sequence] = self.environment.now()
         else:
             self.note_activation(sequence)
             self.staged_at = {s: at for s, at in self.staged_at.items() if s > sequence}
@@ -80,7 +80,7 @@
 
     def note_activation(self, sequence: int) -> None:
         """Report an activation: how long it took, and how many leaseholders lapsed rather than stage it."""
-        after = self.desk.now() - self.staged_at.get(sequence, math.inf)
+        after = self.environment.now() - self.staged_at.get(sequence, math.inf)
         fields = {"sequence": sequence, "after_s": round(after, 3) if after >= 0 else None}
         ring.report_within(self.reports, "version_activated", without=self.without(sequence), **fields)
 
@@ -102,10 +102,10 @@
         self.acks.pop(self.number - 100, None)
         alike: dict[document_delivery.Lack, list[str]] = {}  # what to send -> leaseholders that lack just this
         for address, holder in self.holders.items():
-            alike.setdefault(holder.take_lack(self.machine, self.desk.now()), []).append(address)
+            alike.setdefault(holder.take_lack(self.machine, self.environment.now()), []).append(address)
         for lack, addresses in alike.items():
             delivery = self.delivery.delivery(lack)
-            self.desk.send_to_each(
+            self.environment.send_to_each(
                 addresses,
                 "news",
                 part=0,
@@ -118,15 +118,15 @@
     def on_ask(self, sender, body):
         if not (self.on and self.member.is_leader):
             leader = leader_hint.leader_address(self.member)
-            self.lost[sender] = (self.desk.now(), body["mark"])
-            self.desk.tell(sender, "look_elsewhere", part=0, mark=body["mark"], leader=leader)
+            self.lost[sender] = (self.environment.now(), body["mark"])
+            self.environment.send(sender, "look_elsewhere", part=0, mark=body["mark"], leader=leader)
             return
         holder = self.holders.setdefault(sender, leaseholder.Leaseholder())
-        holder.note_ask(body, self.desk.now())
+        holder.note_ask(body, self.environment.now())
         self.member.confirm(lambda good: good and self.grant(sender, body))
 
     def length(self):
-        machine, now = self.machine, self.desk.now()
+        machine, now = self.machine, self.environment.now()
         if machine.latest == machine.active:
             return self.bounds.long_s
         if now > min(self.staged_at.values(), default=-math.inf) + self.bounds.older_s:
@@ -135,12 +135,12 @@
         return constants.LEASE_SHORT
 
     def grant(self, sender, body):
-        now, length = self.desk.now(), self.length()
+        now, length = self.environment.now(), self.length()
         holder = self.holders.setdefault(sender, leaseholder.Leaseholder(staged=body["staged"], active=body["held"]))
         delivery = self.delivery.delivery(holder.take_lack(self.machine, now))
         if length:
             holder.until = max(holder.until, now + length + constants.LEASE_SLACK)
-        self.desk.tell(
+        self.environment.send(
             sender,
             "grant",
             part=0,
@@ -159,12 +159,12 @@
         if holder and body["staged"] > holder.staged:
             holder.staged = body["staged"]
             if body["staged"] > self.machine.active:
-                cut = self.desk.now() + constants.LEASE_SHORT + constants.LEASE_SLACK
+                cut = self.environment.now() + constants.LEASE_SHORT + constants.LEASE_SLACK
                 holder.until = min(holder.until, cut)
             self.try_activate()
 
     def try_activate(self):
-        machine, now = self.machine, self.desk.now()
+        machine, now = self.machine, self.environment.now()
         for address in [a for a, h in self.holders.items() if max(h.until, h.asked) < now - constants.HOLDER_LIFE]:
             del self.holders[address]
         if not self.on or machine.latest == machine.active or self.asking:
@@ -181,7 +181,7 @@
         self.asking = False
 
     def report(self):
-        now = self.desk.now()
+        now = self.environment.now()
         return {
             "leaseholders": sum(h.until > now for h in self.holders.values()),
             "news": self.number,
--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -24,8 +24,8 @@
 class PendingCall:
     """One call between the thread that waits for it and the mailbox that carries it out."""
 
-    def __init__(self, gate: typing.Any) -> None:
-        self.gate = gate
+    def __init__(self, event: typing.Any) -> None:
+        self.event = event
         self.result: typing.Any = None
         self.claimed = threading.Lock()  # taken once: by the mailbox to begin, or by the caller to withdraw
 
@@ -36,11 +36,11 @@
     def end(self, result: typing.Any) -> None:
         """Hand the result, or an exception, to the thread that waits."""
         self.result = result
-        self.gate.set()
+        self.event.set()
 
     def wait(self, span: float) -> typing.Any:
         """The result within span seconds; NotConfirmed if the call was never begun, Unclear if it has not ended."""
-        if not self.gate.wait(span):
+        if not self.event.wait(span):
             raise NotConfirmed() if self.claim() else Unclear()
         if isinstance(self.result, Exception):
             raise self.result
@@ -87,12 +87,12 @@
         another one be taken meanwhile, the command's base no longer holds and the write is a conflict.
         """
         machine = self.member.machine
-        until = self.member.desk.now() + constants.OPERATOR_WAIT
+        until = self.member.environment.now() + constants.OPERATOR_WAIT
         known, newest = self.read(lambda: (machine.known_result(command), machine.newest_document()))
         if known:
             return known
         whole = {**command, "doc": complete(newest)}
-        return self.run(lambda call: self.begin_write(whole, call), max(0.0, until - self.member.desk.now()))
+        return self.run(lambda call: self.begin_write(whole, call), max(0.0, until - self.member.environment.now()))
 
     def begin_write(self, command: dict[str, typing.Any], call: PendingCall) -> None:
         """Propose the command, or have its known result confirmed; within the mailbox."""
@@ -117,7 +117,7 @@
         """Begin a call within the mailbox while a majority is in touch, and wait span seconds for its end."""
         if not self.member.sure():  # also read here: the mailbox may be held up by its disk
             raise NotConfirmed()
-        call = PendingCall(self.mailbox.gate())
+        call = PendingCall(self.mailbox.new_event())
 
         def begin_once() -> None:
             if not call.claim():
@@ -127,5 +127,5 @@
             else:
                 call.end(NotConfirmed())
 
-        self.member.desk.post(begin_once)
+        self.member.environment.post(begin_once)
         return call.wait(span)
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -21,20 +21,20 @@
     def start_election(self):
         self.votes = set()
         self.trial = False
-        self.woken = self.desk.now()  # last vote given or asked for
+        self.woken = self.environment.now()  # last vote given or asked for
         self.pick_patience()
 
     def pick_patience(self):
-        self.patience = constants.ELECT_LOW + self.desk.random.random() * constants.ELECT_SPAN
+        self.patience = constants.ELECT_LOW + self.environment.random.random() * constants.ELECT_SPAN
 
     def tick(self):
         if self.chart.state == "stopped":
             return
         self.guard(self.work)()
-        self.desk.beat(constants.HEART_BEAT, self.tick)
+        self.environment.call_later(constants.HEART_BEAT, self.tick)
 
     def work(self):
-        now = self.desk.now()
+        now = self.environment.now()
         if self.is_leader:
             self.keep_leading(now)
         elif self.chart.state in ("follower", "candidate") and not self.leaving:
@@ -42,11 +42,11 @@
             if due <= 0:
                 self.stand(trial=True)
             elif due < constants.HEART_BEAT:
-                self.desk.beat(due, self.guard(self.stand_if_due))
+                self.environment.call_later(due, self.guard(self.stand_if_due))
         self.keep_joining(now)
 
     def stand_if_due(self):
-        quiet = self.desk.now() - max(self.heard, self.woken)
+        quiet = self.environment.now() - max(self.heard, self.woken)
         if (
             self.chart.state in ("follower", "candidate")
             and not self.leaving
@@ -56,11 +56,11 @@
 
     def give_way(self):
         """Another one in a trial goes first; its answer to us counts no more."""
-        self.votes, self.woken = set(), self.desk.now()
+        self.votes, self.woken = set(), self.environment.now()
         self.pick_patience()
 
     def stand(self, trial, handed=False):
-        self.woken = self.desk.now()
+        self.woken = self.environment.now()
         self.pick_patience()
         self.trial = trial
         self.handed = handed
@@ -70,7 +70,7 @@
         if not trial:
             self.log.put_term(self.log.term + 1, self.who)
         for m in self.others():
-            self.tell(
+            self.send(
                 m,
                 "vote_ask",
                 term=self.log.term + (1 if trial else 0),
@@ -82,7 +82,7 @@
         self.count_votes()
 
     def on_vote_ask(self, sender, body):
-        now = self.desk.now()
+        now = self.environment.now()
         if self.who not in self.members:
             return
         if not body["handed"] and (self.is_leader or now - self.heard < constants.VOTE_HOLD):
@@ -100,7 +100,7 @@
                 self.log.put_term(self.log.term, body["who"])
                 self.woken = now
         self.where[body["who"]] = sender
-        self.tell(body["who"], "vote_say", term=self.log.term, granted=good, trial=body["trial"])
+        self.send(body["who"], "vote_say", term=self.log.term, granted=good, trial=body["trial"])
 
     def on_vote_say(self, sender, body):
         if body["term"] > self.log.term:
@@ -137,7 +137,7 @@
     def win(self):
         self.chart.step("win")
         self.leader = self.who
-        self.won_at = self.desk.now()
+        self.won_at = self.environment.now()
         self.start_replication()
         self.ready = False
         self.propose({"op": "begin", "who": self.who}, self.begun)
@@ -146,7 +146,7 @@
         """Own first entry committed: all earlier ones are known, duties may start."""
         if result is not None and self.is_leader:
             self.ready = True
-            took = round(self.desk.now() - self.won_at, 3)
+            took = round(self.environment.now() - self.won_at, 3)
             ring.report("part_led", part=self.part, who=self.who, term=self.log.term, after_s=took)
             for duty in self.duties:
                 duty.start()
@@ -172,7 +172,7 @@
             self.step_back(False)
         self.leader = body["who"]
         self.where[body["who"]] = sender
-        self.heard = self.desk.now()
+        self.heard = self.environment.now()
 
     def hand_over(self):
         """Names the fullest other member as successor and stops taking writes."""
@@ -186,8 +186,8 @@
         ready = [m for m, progress in held.items() if progress.match == self.log.last]
         if not ready:
             return False
-        self.tell(max(ready, key=lambda m: held[m].round), "hand", term=self.log.term)
-        self.heard = self.desk.now()
+        self.send(max(ready, key=lambda m: held[m].round), "hand", term=self.log.term)
+        self.heard = self.environment.now()
         self.step_back(True)
         return True
 
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -21,7 +21,7 @@
     def on_append(self, sender: str, body: dict[str, typing.Any]) -> None:
         """A leader's entries, or none, with its commit index; answered with what is held."""
         if body["term"] < self.log.term:
-            self.desk.tell(
+            self.environment.send(
                 sender,
                 "append_say",
                 part=self.part,
@@ -39,13 +39,13 @@
             body["echoed"],
             body["confirmed"],
             body["commit"],
-            self.desk.now(),
+            self.environment.now(),
         )
         good, match = self.take_entries(body["prev"], body["prev_term"], body["entries"])
         if good and min(body["commit"], match) > self.commit:
             self.commit = min(body["commit"], match)
             self.apply_all()
-        self.tell(body["who"], "append_say", term=self.log.term, good=good, match=match, round=body["round"])
+        self.send(body["who"], "append_say", term=self.log.term, good=good, match=match, round=body["round"])
 
     def take_entries(self, previous: int, previous_term: int, entries: list[dict[str, typing.Any]]) -> tuple[bool, int]:
         """Writes what is new; (whether the log fits, up to where it is the leader's)."""
@@ -74,7 +74,7 @@
             if snap is not None:
                 self.install(snap)
         done = body["index"] <= self.commit
-        self.tell(
+        self.send(
             body["who"],
             "snap_say",
             term=self.log.term,
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -42,28 +42,28 @@
 
 
 class Keeper:
-    def __init__(self, desk, settings, new_desk, disk, chance=secrets.token_hex, speech=None):
-        self.desk, self.settings, self.disk = desk, settings, disk
+    def __init__(self, environment, settings, new_environment, disk, chance=secrets.token_hex, speech=None):
+        self.environment, self.settings, self.disk = environment, settings, disk
         self.waiting = False  # whether a failed disk is being tried
-        self.journal = journal_module.Journal(desk.now)
+        self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.who = incarnation(disk, settings["name"], chance)
         self.replicas = (
-            listed.Listed(desk, settings["list_url"], self.journal, speech, lambda: self.lease_goals())
+            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.lease_goals())
             if speech
-            else replicas_module.Replicas(desk, settings["list_url"], self.journal)
+            else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(
-            desk,
+            environment,
             settings["name"],
             "keep",
             settings["cell"],
             settings["seeds"],
             self.replicas,
-            remembered.Remembered(desk, disk),
+            remembered.Remembered(environment, disk),
         )
-        self.lease = lease_module.Lease(desk, self.lease_goals)
-        self.new_desk, self.speech = new_desk, speech
+        self.lease = lease_module.Lease(environment, self.lease_goals)
+        self.new_environment, self.speech = new_environment, speech
         opened = [self.open_part(part) for part in range(constants.PARTS)]
         self.members = [member for member, _ in opened]
         self.duties = [duty for _, duty in opened]
@@ -75,7 +75,7 @@
             settings.get("losses", constants.LOSSES), settings.get("catch_up_s", constants.CATCH_UP)
         )
         member = member_module.Member(
-            self.new_desk(),
+            self.new_environment(),
             self.disk,
             part,
             self.who,
@@ -100,12 +100,12 @@
         """A member stopped, not knowing what its disk holds: it is opened again once the disk takes writes."""
         if not self.waiting:
             self.waiting = True
-            self.desk.spawn(self.wait_for_disk)
+            self.environment.spawn(self.wait_for_disk)
 
     def wait_for_disk(self):
         """Tries the disk until it takes writes and every part that it failed is open again."""
         while any(member.disk_lost for member in self.members):
-            self.desk.pause(constants.DISK_RETRY)
+            self.environment.sleep(constants.DISK_RETRY)
             try:
                 self.disk.put("probe", b".")
                 self.reopen_parts()
@@ -123,37 +123,37 @@
         for part, former in enumerate(self.members):
             if former.disk_lost:
                 member, duty = self.open_part(part)
-                former.desk.stop()
+                former.environment.stop()
                 self.members[part], self.duties[part] = member, duty
                 ring.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
                 member.begin()
 
     def lease_goals(self):
-        return [self.desk.address] + self.gossip.keepers()
+        return [self.environment.address] + self.gossip.keepers()
 
     def run(self):
         self.replicas.run()
         for member in self.members:
             member.begin()
-        counters.CountersReport(self.desk, self.totals, self.desk.figures).run()
+        counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     def front(self, make=keeper_front.KeeperFront):
         return front.Server(self.settings["http"], make(self), constants.HTTP_THREADS)
 
     def in_part(self, member, call):
         """Runs call() in a part's mailbox and waits for what it returns."""
-        gate, box = self.desk.gate(), []
-        member.desk.post(lambda: (box.append(call()), gate.set()))
-        return box[0] if gate.wait(constants.COMMIT_WAIT) else None
+        event, box = self.environment.new_event(), []
+        member.environment.post(lambda: (box.append(call()), event.set()))
+        return box[0] if event.wait(constants.COMMIT_WAIT) else None
 
     def drain(self):
         """Hands every led part to a successor and leaves the groups; True if all were taken over."""
         for member in self.members:
             self.in_part(member, member.leave)
-        self.desk.pause(2 * constants.HEART_BEAT)
-        until = self.desk.now() + self.settings.get("drain_s", constants.LEAVE_WAIT)
-        while self.desk.now() < until and not all(member.released for member in self.members):
-            self.desk.pause(constants.HEART_BEAT)
+        self.environment.sleep(2 * constants.HEART_BEAT)
+        until = self.environment.now() + self.settings.get("drain_s", constants.LEAVE_WAIT)
+        while self.environment.now() < until and not all(member.released for member in self.members):
+            self.environment.sleep(constants.HEART_BEAT)
         return not any(member.is_leader for member in self.members)
 
     def condition(self):
@@ -168,8 +168,8 @@
             "who": self.who,
             "parts": parts,
             "keepers": self.gossip.keepers(),
-            "process": self.desk.figures(),
-            "releases": self.desk.releases(),
+            "process": self.environment.figures(),
+            "releases": self.environment.releases(),
             "neighbours": sorted(self.gossip.view),
             "serving": all(p["state"] in ("leader", "follower") and p["leader"] for p in parts),
         }
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -41,7 +41,7 @@
 class KeeperFront:
     def __init__(self, keeper):
         self.keeper = keeper
-        self.calls = confirmed_calls.ConfirmedCalls(keeper.desk, lambda: self.member)
+        self.calls = confirmed_calls.ConfirmedCalls(keeper.environment, lambda: self.member)
 
     @property
     def member(self) -> typing.Any:
@@ -71,7 +71,7 @@
         return front.respond(start, 200 if said["serving"] else 503, said)
 
     def metrics(self, environ, start):
-        return front.respond(start, 200, self.keeper.totals.text(self.keeper.desk.figures()).encode())
+        return front.respond(start, 200, self.keeper.totals.text(self.keeper.environment.figures()).encode())
 
     def elsewhere(self, environ, start):
         """307 to a leader heard of lately, or 503 while there is none; None if this is the leader."""
--- a/mothshed/control_plane/list_duty.py
+++ b/mothshed/control_plane/list_duty.py
@@ -15,20 +15,20 @@
 
 class ListDuty:
     def __init__(self, member, listed):
-        self.member, self.desk, self.listed = member, member.desk, listed
+        self.member, self.environment, self.listed = member, member.environment, listed
         self.on = False
         self.rows, self.number, self.at = {}, 0, -1e9
         self.changes = collections.deque(maxlen=constants.LIST_CHANGES)  # (number, rows, gone)
         self.holders = {}  # address -> [number it has, when it asked]
         member.duties.append(self)
-        self.desk.hear("list_ask", self.on_ask, member.part)
+        self.environment.subscribe("list_ask", self.on_ask, member.part)
 
     def start(self):
         self.on = True
         self.rows, self.at, self.holders = {}, -1e9, {}
         self.number = self.first = self.member.log.term * 1000000
         self.changes.clear()
-        self.desk.spawn(lambda number=self.number: self.read(number))
+        self.environment.spawn(lambda number=self.number: self.read(number))
 
     def stop(self):
         self.on = False
@@ -36,13 +36,13 @@
     def read(self, first):
         """Reads the list every beat for as long as this ownership lasts."""
         while self.on and self.first == first:
-            began = self.desk.now()
+            began = self.environment.now()
             try:
-                rows = self.listed.speech.rows(self.desk, self.listed.list_url)
-                self.desk.post(lambda rows=rows, at=began: self.took(rows, at))
+                rows = self.listed.speech.rows(self.environment, self.listed.list_url)
+                self.environment.post(lambda rows=rows, at=began: self.took(rows, at))
             except web.WebFault as e:
                 self.listed.journal.add("list", outcome="failed", reason=str(e))
-            self.desk.pause(constants.LIST_BEAT)
+            self.environment.sleep(constants.LIST_BEAT)
 
     def took(self, rows, at):
         if not self.on:
@@ -53,12 +53,12 @@
         if new or gone:
             self.number += 1
             self.changes.append((self.number, new, gone))
-            old = self.desk.now() - constants.LIST_HOLD
+            old = self.environment.now() - constants.LIST_HOLD
             self.holders = {a: h for a, h in self.holders.items() if h[1] > old}
             for address in self.holders:
-                self.tell(address)
+                self.send(address)
 
-    def tell(self, address):
+    def send(self, address):
         held = self.holders[address][0]
         since = [c for c in self.changes if c[0] > held]
         whole = held <= self.first or held > self.number or len(since) < self.number - held
@@ -69,13 +69,13 @@
                     rows.pop(name, None)
                 rows.update(new)
                 gone = [n for n in gone if n not in new] + lost
-        self.desk.tell(
+        self.environment.send(
             address,
             "list_news",
             part=self.member.part,
             number=self.number,
             held=held,
-            age=self.desk.now() - self.at,
+            age=self.environment.now() - self.at,
             whole=whole,
             rows=rows,
             gone=gone,
@@ -86,8 +86,8 @@
         member = self.member
         if not (self.on and member.is_leader):
             leader = leader_hint.leader_address(member)
-            self.desk.tell(sender, "look_elsewhere", part=member.part, mark=0, leader=leader)
+            self.environment.send(sender, "look_elsewhere", part=member.part, mark=0, leader=leader)
             return
-        self.holders[sender] = [body["number"], self.desk.now()]
+        self.holders[sender] = [body["number"], self.environment.now()]
         if self.rows:
-            self.tell(sender)
+            self.send(sender)
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -1,6 +1,6 @@
 """One member of one part's group: the log it keeps, its state, what it applies.
 
-A Member runs on a desk, one callback at a time. The chart `member.json` says
+A Member runs on an environment, one callback at a time. The chart `member.json` says
 which states may follow which. Election, replication, following and reconfiguration are
 files of their own, mixed in here; this one holds what they share: the effective membership, applying
 committed entries to the part's machine, snapshots, and the leader's confirmed
@@ -24,9 +24,9 @@
 
 
 class Member(election.Election, replication.Replication, following.Following, reconfiguration.Reconfiguration):
-    def __init__(self, desk, disk, part, who, http, first, machine, known=lambda: [], bounds=None):
-        self.desk, self.part, self.who, self.http = desk, part, who, http
-        self.address = desk.address
+    def __init__(self, environment, disk, part, who, http, first, machine, known=lambda: [], bounds=None):
+        self.environment, self.part, self.who, self.http = environment, part, who, http
+        self.address = environment.address
         self.first = list(first)
         self.known = known  # addresses of keepers from hints
         self.machine = machine  # apply(index, command), dump(), restore(state)
@@ -40,7 +40,7 @@
         self.commit = self.applied = 0
         self.where = {}  # id -> address heard of lately
         self.waits = {}  # index -> (term, call)
-        self.heard = desk.now()  # also after a start: an old promise may still hold
+        self.heard = environment.now()  # also after a start: an old promise may still hold
         self.handed = False  # whether this member stood because its leader named it
         self.membership = membership.Membership()
         if self.log.snap:
@@ -71,8 +71,8 @@
             "leave",
             "leave_say",
         ):
-            self.desk.hear(kind, self.guard(getattr(self, "on_" + kind)), self.part)
-        self.desk.post(self.tick)
+            self.environment.subscribe(kind, self.guard(getattr(self, "on_" + kind)), self.part)
+        self.environment.post(self.tick)
 
     def guard(self, call):
         def run(*args):
@@ -140,8 +140,8 @@
     def others(self):
         return [m for m in self.members if m != self.who]
 
-    def tell(self, who, kind, **body):
-        self.desk.tell(self.place_of(who), kind, part=self.part, who=self.who, **body)
+    def send(self, who, kind, **body):
+        self.environment.send(self.place_of(who), kind, part=self.part, who=self.who, **body)
 
     def propose(self, command, call=lambda result: None):
         """call(result) once committed and applied; call(None): not known, read back."""
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -33,7 +33,7 @@
         self.says_standing = speech is None or speech.says_standing
         self.shared_usage = usage_duty.UsageDuty(member, self.service_of) if speech else None
         self.quiet = {}  # (replica, role) -> until when a taken order is not said again
-        self.member, self.machine, self.desk = member, member.machine, member.desk
+        self.member, self.machine, self.environment = member, member.machine, member.environment
         self.replicas, self.lease, self.journal = replicas, lease, journal
         self.split = {}  # pool name -> Split
         self.on = False
@@ -50,8 +50,8 @@
     def taken(self, result):
         if result and self.on:
             self.standing, self.told = result["standing"], set()
-            self.from_then = self.desk.now() + self.turn_gap()
-            self.desk.beat(self.turn_gap(), self.tick)
+            self.from_then = self.environment.now() + self.turn_gap()
+            self.environment.call_later(self.turn_gap(), self.tick)
 
     def turn_gap(self) -> float:
         """How long a new holder keeps silent; the one before may have ordered until its seat was taken."""
@@ -65,7 +65,7 @@
             self.on
             and standing
             and standing == self.standing == self.machine.standing
-            and self.desk.now() >= self.from_then
+            and self.environment.now() >= self.from_then
             and self.member.sure()
         )
 
@@ -75,7 +75,7 @@
         document = self.lease.document()
         if self.may(self.standing) and document and self.lease.sequence():
             self.look(document)
-        self.desk.beat(constants.ORDER_BEAT, self.tick)
+        self.environment.call_later(constants.ORDER_BEAT, self.tick)
 
     def shared(self, selector):
         """A pool's replicas: ours, other parts', and our rank among the parts that have some."""
@@ -103,7 +103,7 @@
                 continue
             found, rest, rank = self.shared(pool["selector"])
             found = {n: c for n, c in found.items() if n not in wanted}
-            split = self.split.setdefault(name, service_part.Split(self.desk.now))
+            split = self.split.setdefault(name, service_part.Split(self.environment.now))
             usage = {n: self.usage_of(n, c) for n, c in found.items()}
             roles = self.machine.roles
             if self.gives_roles:  # a replica keeps the part that it came with
@@ -135,7 +135,7 @@
             if (
                 news
                 and name not in self.busy
-                and self.quiet.get((name, self.machine.roles[name]), 0) <= self.desk.now()
+                and self.quiet.get((name, self.machine.roles[name]), 0) <= self.environment.now()
             ):
                 self.order(name, self.machine.roles[name])
 
@@ -144,7 +144,7 @@
         if not row:
             return
         self.busy.add(name)
-        self.desk.spawn(lambda: self.send(name, row["url"], role, standing))
+        self.environment.spawn(lambda: self.send(name, row["url"], role, standing))
 
     def still_wanted(self, name: str, role: str) -> bool:
         """Whether a lease runs under which a pool with a split has the replica, and the part gives it this role.
@@ -169,8 +169,8 @@
     def send(self, name, url, role, standing):
         good = False
         if self.shared_usage:  # routers hear of it before the replica does
-            self.shared_usage.shifting[name] = self.desk.now() + constants.CHANGE_OUT
-            self.desk.pause(constants.ORDER_NOTICE)
+            self.shared_usage.shifting[name] = self.environment.now() + constants.CHANGE_OUT
+            self.environment.sleep(constants.ORDER_NOTICE)
 
         def ready() -> bool:
             return bool(self.may(standing) and self.still_wanted(name, role))
@@ -179,7 +179,7 @@
             if ready():
                 sequence = self.lease.current()[0]
                 good = self.order_role(
-                    self.desk, self.place(name, url), role, standing, self.member.who, sequence, ready
+                    self.environment, self.place(name, url), role, standing, self.member.who, sequence, ready
                 )
         except web.WebFault:
             pass
@@ -188,7 +188,7 @@
             self.journal.add("order", outcome="taken" if good else "failed", replica=name, role=role)
             seen = self.replicas.conditions.get(name)
             if good and not self.says_standing:  # the list says so late, and each order has its price
-                self.quiet[(name, role)] = self.desk.now() + constants.ORDER_QUIET
+                self.quiet[(name, role)] = self.environment.now() + constants.ORDER_QUIET
             if good and seen:
                 seen["c"] = {**seen["c"], "role": role}
                 self.told.add((name, seen["c"]["engine"]))
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -25,7 +25,7 @@
         self, member: typing.Any, lease: typing.Any, journal: typing.Any, bounds: limit_bounds.LimitBounds
     ) -> None:
         self.member, self.lease, self.journal, self.bounds = member, lease, journal, bounds
-        self.environment = member.desk
+        self.environment = member.environment
         # when the entries with which the last two leaders began were applied here, or later
         self.began: collections.deque[float] = collections.deque([self.environment.now()] * 2, maxlen=2)
         self.buckets: dict[str, token_bucket.TokenBucket] = {}
@@ -37,7 +37,7 @@
         self.redirected: dict[str, tuple[float, int]] = {}  # address -> (when, mark): asked while no leader was known
         member.machine.leader_began = self.leader_began
         member.duties.append(self)
-        self.environment.hear("permit_ask", self.on_permit_ask, member.part)
+        self.environment.subscribe("permit_ask", self.on_permit_ask, member.part)
 
     def leader_began(self) -> None:
         """The entry with which a leader begins was applied."""
@@ -61,7 +61,7 @@
 
     def redirect(self, address: str, mark: int, leader: str) -> None:
         """Say who leads, "" if that is not known."""
-        self.environment.tell(address, "look_elsewhere", part=self.member.part, mark=mark, leader=leader)
+        self.environment.send(address, "look_elsewhere", part=self.member.part, mark=mark, leader=leader)
 
     def note_redirected(self, address: str, mark: int, now: float) -> None:
         """Remember who is to be told of a new leader, in the order of asking, for as long as that is of use."""
@@ -93,7 +93,7 @@
             grants[tenant] = self.grant(tenant, row, count, now)
             self.journal.add("permit_ask", outcome="granted" if grants[tenant][0] >= count else "refused")
         part, mark = self.member.part, body["mark"]
-        self.environment.tell(sender, "permits", part=part, mark=mark, sequence=sequence, grants=grants)
+        self.environment.send(sender, "permits", part=part, mark=mark, sequence=sequence, grants=grants)
 
     def drop_buckets(self, sequence: int, tenants: dict[str, typing.Any], now: float) -> None:
         """Under a newer document, forget those tenants that it lacks whose buckets are full: a new one holds no more.
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -54,15 +54,19 @@
         self.asked_at = now
         if self.chart.state == "empty" and self.address in self.first:
             for address in self.first:
-                self.desk.tell(address, "born_ask", part=self.part, who=self.who, address=self.address, http=self.http)
+                self.environment.send(
+                    address, "born_ask", part=self.part, who=self.who, address=self.address, http=self.http
+                )
         if self.chart.state in ("empty", "learner") or now - self.heard > 2 * constants.ELECT_LOW:
             goals = {m["address"] for m in self.members.values()} | set(self.first) | set(self.known())
             for address in sorted(goals - {self.address}):
-                self.desk.tell(address, "join_ask", part=self.part, who=self.who, address=self.address, http=self.http)
+                self.environment.send(
+                    address, "join_ask", part=self.part, who=self.who, address=self.address, http=self.http
+                )
 
     def on_born_ask(self, sender, body):
         first = self.log.entries[0]["c"] if self.log.entries and self.log.base == 0 else {}
-        self.desk.tell(
+        self.environment.send(
             sender,
             "born_say",
             part=self.part,
@@ -80,7 +84,7 @@
             if self.who in body["members"]:
                 self.birth(body["members"])
             return
-        now = self.desk.now()
+        now = self.environment.now()
         self.empties[body["address"]] = (now, body["who"], body["http"])
         fresh = {a: e for a, e in self.empties.items() if now - e[0] < 2 * constants.JOIN_BEAT}
         if set(self.first) <= set(fresh) and len(self.first) >= 1:
@@ -93,7 +97,7 @@
             return
         self.chart.step("birth")
         self.read_members()
-        self.heard = self.desk.now()
+        self.heard = self.environment.now()
 
     def on_join_ask(self, sender, body):
         who = body["who"]
@@ -103,7 +107,7 @@
         self.leavers.pop(who, None)
         if who in self.members and self.members[who]["address"] == body["address"]:
             return
-        self.learners[who] = {"address": body["address"], "http": body["http"], "at": self.desk.now()}
+        self.learners[who] = {"address": body["address"], "http": body["http"], "at": self.environment.now()}
         self.spread()
 
     def change_members(self):
@@ -120,7 +124,7 @@
 
     def view(self):
         """What this leader sees of its group now."""
-        now = self.desk.now()
+        now = self.environment.now()
         self.forget_the_gone(now)
         return membership.GroupView(
             leader=self.who,
@@ -164,21 +168,21 @@
         elif self.who not in self.members:
             self.released = True
         elif self.leader and not self.released:
-            self.tell(self.leader, "leave")
+            self.send(self.leader, "leave")
 
     def on_leave(self, sender, body):
         if not self.is_leader:
             return
         who = body["who"]
-        self.leavers[who] = self.desk.now()
+        self.leavers[who] = self.environment.now()
         self.learners.pop(who, None)
         self.change_members()
         waiting = who in self.members and (self.membership.joint or not self.knows_newcomers() or self.can_spare(who))
-        self.tell(who, "leave_say", finished=not waiting)
+        self.send(who, "leave_say", finished=not waiting)
 
     def knows_newcomers(self) -> bool:
         """Whether this leader has led for long enough to have heard of every member that asks to join."""
-        return self.ready and self.desk.now() - self.won_at >= constants.JOIN_KNOWN
+        return self.ready and self.environment.now() - self.won_at >= constants.JOIN_KNOWN
 
     def can_spare(self, who):
         """Whether a change that lets this voter go is to be expected."""
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -26,7 +26,7 @@
         self.spread_due = None
         self.sure_until = 0.0
         self.ready = False
-        self.won_at = self.desk.now()
+        self.won_at = self.environment.now()
         self.encoded = None  # the newest snapshot as text, while somebody needs it
 
     def targets(self):
@@ -39,17 +39,17 @@
 
     def spread(self):
         """Sends what is missing to every member, at most once in a ROUND_GAP."""
-        gap = self.spread_at + constants.ROUND_GAP - self.desk.now()
+        gap = self.spread_at + constants.ROUND_GAP - self.environment.now()
         if gap <= 0:
             self.spread_now()
         elif not self.spread_due:
-            self.spread_due = self.desk.beat(gap, self.guard(self.spread_now))
+            self.spread_due = self.environment.call_later(gap, self.guard(self.spread_now))
 
     def spread_now(self):
         self.spread_due = None
         if not self.is_leader:
             return
-        self.spread_at = self.desk.now()
+        self.spread_at = self.environment.now()
         self.round += 1
         self.sent_at[self.round] = self.spread_at
         self.sent_at.pop(self.round - constants.ROUNDS_KEPT, None)
@@ -64,7 +64,7 @@
             self.send_piece(member, progress)
         previous = progress.next - 1 if progress.transfer is None else 0
         entries, size = self.next_entries(progress)
-        self.tell(
+        self.send(
             member,
             "append",
             term=self.log.term,
@@ -94,19 +94,19 @@
 
     def send_piece(self, member, progress):
         """Starts the transfer of the newest snapshot, or goes on with the one under way."""
-        now = self.desk.now()
+        now = self.environment.now()
         if progress.transfer is None:
             if self.encoded is None or self.encoded.index != self.log.snap["index"]:
                 self.encoded = snapshot_transfer.Encoded(self.log.snap)
             progress.transfer = snapshot_transfer.Transfer(self.encoded)
         if progress.transfer.due(now):
-            self.tell(member, "snap", term=self.log.term, **progress.transfer.piece(now))
+            self.send(member, "snap", term=self.log.term, **progress.transfer.piece(now))
 
     def on_snap_say(self, sender, body):
         progress = self.progress.get(body["who"])
         if not self.is_leader or body["term"] != self.log.term or progress is None:
             return
-        progress.answered_at, progress.answered = self.desk.now(), True
+        progress.answered_at, progress.answered = self.environment.now(), True
         if progress.transfer is None or body["index"] != progress.transfer.encoded.index:
             return
         if body["done"]:
@@ -131,7 +131,7 @@
         if not self.is_leader or body["term"] != self.log.term or member not in self.targets():
             return
         progress = self.progress_of(member)
-        progress.echoed(body["round"], self.desk.now())
+        progress.echoed(body["round"], self.environment.now())
         if progress.transfer is None:
             if body["good"]:
                 progress.accepted(body["match"], body["round"])
@@ -182,7 +182,7 @@
             call(False)
 
     def sure(self):
-        return self.is_leader and self.ready and self.desk.now() < self.sure_until
+        return self.is_leader and self.ready and self.environment.now() < self.sure_until
 
     def silence(self, member, now):
         """Seconds since a member's last answer to this leader, counted from its election at least."""
--- a/mothshed/control_plane/usage_duty.py
+++ b/mothshed/control_plane/usage_duty.py
@@ -15,20 +15,20 @@
 
 class UsageDuty:
     def __init__(self, member, service_of=lambda name: ""):
-        self.member, self.desk = member, member.desk
+        self.member, self.environment = member, member.environment
         self.service_of = service_of  # replica -> its service
         self.capacities = {}  # service -> WriterCapacity
-        self.reports = load_sums.LoadSums(self.desk.now)
+        self.reports = load_sums.LoadSums(self.environment.now)
         self.smooth = {}  # replica -> [requests, tokens being read]
         self.smoothed_at = None
         self.shifting = {}  # replica -> until when an order keeps it away
-        self.desk.hear("usage", self.on_usage, member.part)
+        self.environment.subscribe("usage", self.on_usage, member.part)
 
     def on_usage(self, sender, body):
         member = self.member
         if not member.is_leader:
-            fresh = member.leader and self.desk.now() - member.heard < constants.LEADER_FRESH
-            self.desk.tell(
+            fresh = member.leader and self.environment.now() - member.heard < constants.LEADER_FRESH
+            self.environment.send(
                 sender,
                 "look_elsewhere",
                 part=member.part,
@@ -38,11 +38,11 @@
             return
         self.reports.take(sender, replica_load.from_wire(body["rows"]))
         sums = {name: load.placing_wire() for name, load in self.sums(sender).items()}
-        self.desk.tell(sender, "usages", part=member.part, mark=body["mark"], rows=sums)
+        self.environment.send(sender, "usages", part=member.part, mark=body["mark"], rows=sums)
 
     def sums(self, but=""):
         """replica -> ReplicaLoad over all routers but one, and what orders keep away; not to be changed."""
-        now, total = self.desk.now(), self.reports.without(but)
+        now, total = self.environment.now(), self.reports.without(but)
         self.shifting = {name: until for name, until in self.shifting.items() if until > now}
         for name, until in self.shifting.items():
             load = total.get(name) or replica_load.ReplicaLoad()
@@ -51,7 +51,7 @@
 
     def usage(self, name, role, slots):
         """(running, waiting, slots) as the split weighs them, smoothed over a second or two."""
-        now = self.desk.now()
+        now = self.environment.now()
         if self.smoothed_at is None or now - self.smoothed_at > constants.USAGE_BEAT:
             keep = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.USAGE_HALF)
             loads = self.sums()
@@ -69,7 +69,7 @@
 
     def capacity(self, name: str) -> writer_capacity.WriterCapacity:
         """What the writers of a replica's service carry."""
-        return self.capacities.setdefault(self.service_of(name), writer_capacity.WriterCapacity(self.desk.now))
+        return self.capacities.setdefault(self.service_of(name), writer_capacity.WriterCapacity(self.environment.now))
 
     def observe_writers(self, loads: replica_load.Loads) -> None:
         """Take what the events of running streams tell, one sample for each replica with enough of them."""
@@ -79,4 +79,4 @@
                 sample = (self.smooth[name][0], load.events_s / load.events)
                 samples.setdefault(self.service_of(name), []).append(sample)
         for service, rows in samples.items():
-            self.capacities.setdefault(service, writer_capacity.WriterCapacity(self.desk.now)).observe(rows)
+            self.capacities.setdefault(service, writer_capacity.WriterCapacity(self.environment.now)).observe(rows)
--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -14,13 +14,13 @@
 
 
 class Ticket:
-    def __init__(self, tenant, share, gate):
-        self.tenant, self.share, self.gate = tenant, share, gate
+    def __init__(self, tenant, share, event):
+        self.tenant, self.share, self.event = tenant, share, event
 
 
 class Admission:
-    def __init__(self, desk):
-        self.desk = desk
+    def __init__(self, environment):
+        self.environment = environment
         self.lock = threading.RLock()
         self.queues = collections.OrderedDict()  # tenant -> deque of tickets
         self.spent = {}  # tenant -> service taken per share
@@ -35,7 +35,7 @@
         again: it was admitted before and its first send was bounced; it waits anew, first
         of its tenant and past the bounds.
         """
-        until = min((self.desk.now() if again else request.born) + constants.QUEUE_WAIT, request.cutoff)
+        until = min((self.environment.now() if again else request.born) + constants.QUEUE_WAIT, request.cutoff)
         with self.lock:
             if not self.waiting():
                 plan = self.take(request.tenant, share, make_plan)
@@ -44,7 +44,7 @@
             queue = self.queues.setdefault(request.tenant, collections.deque())
             if not again and (self.waiting() >= constants.QUEUE_MOST or len(queue) >= constants.QUEUE_TENANT):
                 raise verdict.Bounce(503, "queue is full", constants.RETRY_AFTER, "queue_full")
-            ticket = Ticket(request.tenant, share, self.desk.gate())
+            ticket = Ticket(request.tenant, share, self.environment.new_event())
             queue.insert(0 if again else len(queue), ticket)
         try:
             return self.wait(until, ticket, make_plan)
@@ -64,10 +64,10 @@
                     plan = self.take(ticket.tenant, ticket.share, make_plan)
                     if plan:
                         return plan
-            if self.desk.now() >= until:
+            if self.environment.now() >= until:
                 raise verdict.Bounce(503, "no free pair of replicas", constants.RETRY_AFTER, "no_pair")
-            ticket.gate.clear()
-            ticket.gate.wait(min(constants.PLACE_BEAT, max(0.001, until - self.desk.now())))
+            ticket.event.clear()
+            ticket.event.wait(min(constants.PLACE_BEAT, max(0.001, until - self.environment.now())))
 
     def head(self):
         tenants = [t for t, q in self.queues.items() if q]
@@ -88,4 +88,4 @@
         with self.lock:
             ticket = self.head()
             if ticket:
-                ticket.gate.set()
+                ticket.event.set()
--- a/mothshed/data_plane/budget.py
+++ b/mothshed/data_plane/budget.py
@@ -17,25 +17,25 @@
 
 
 class Budget:
-    def __init__(self, desk, routers=lambda: [], slack=0.0, sharers=lambda: 1):
+    def __init__(self, environment, routers=lambda: [], slack=0.0, sharers=lambda: 1):
         """slack: extra sends a window that operators allow the whole fleet beside the share."""
-        self.slack, self.sharers, self.born = slack, sharers, desk.now()
-        self.desk, self.routers = desk, routers  # routers() -> addresses of neighbours
+        self.slack, self.sharers, self.born = slack, sharers, environment.now()
+        self.environment, self.routers = environment, routers  # routers() -> addresses of neighbours
         self.first = collections.deque()  # moments of requests
         self.more = collections.deque()  # (moment, extra sends spent or lent)
         self.loans = collections.deque()  # (moment, extra sends borrowed)
         self.asked_at, self.mark, self.need = -1e9, 0, 0.0
-        self.lock, self.gate = threading.RLock(), desk.gate()
-        desk.hear("borrow", self.on_borrow)
-        desk.hear("lend", self.on_lend)
+        self.lock, self.event = threading.RLock(), environment.new_event()
+        environment.subscribe("borrow", self.on_borrow)
+        environment.subscribe("lend", self.on_lend)
 
     def sent(self):
         """A request's first send."""
         with self.lock:
-            self.first.append(self.desk.now())
+            self.first.append(self.environment.now())
 
     def trim(self):
-        now = self.desk.now()
+        now = self.environment.now()
         while self.first and self.first[0] <= now - constants.BUDGET_SPAN:
             self.first.popleft()
         for rows, span in ((self.more, constants.BUDGET_SPAN), (self.loans, constants.LOAN_LIFE)):
@@ -44,7 +44,7 @@
 
     def own(self):
         self.trim()
-        grown = self.desk.now() - self.born > constants.SLACK_AFTER
+        grown = self.environment.now() - self.born > constants.SLACK_AFTER
         slack = constants.SLACK_SHARE * self.slack / max(constants.SLACK_LEAST, self.sharers()) if grown else 0.0
         return constants.BUDGET_SHARE * len(self.first) + slack - sum(n for at, n in self.more)
 
@@ -66,7 +66,7 @@
                     self.loans.appendleft((at, n - count))
                 count -= min(n, count)
             if count > 1e-9:
-                self.more.append((self.desk.now(), count))
+                self.more.append((self.environment.now(), count))
             return True
 
     def extra(self, count=1):
@@ -74,30 +74,30 @@
         if not count or self.take(count):
             return True
         with self.lock:
-            now, goals = self.desk.now(), self.routers()
+            now, goals = self.environment.now(), self.routers()
             if now - self.asked_at < constants.BORROW_BEAT or not goals:
                 return False
             self.asked_at, self.need = now, count
             need = (count - self.room()) / max(1, min(constants.LENDERS, len(goals) // 2))
             self.mark += 1
-            self.gate.clear()
+            self.event.clear()
         for goal in goals:
-            self.desk.tell(goal, "borrow", mark=self.mark, need=need)
-        self.gate.wait(constants.BORROW_WAIT)
+            self.environment.send(goal, "borrow", mark=self.mark, need=need)
+        self.event.wait(constants.BORROW_WAIT)
         return self.take(count)
 
     def on_borrow(self, sender, body):
         with self.lock:
             give = min(self.own(), body["need"])
-            if give <= 0 or self.desk.now() - self.asked_at < constants.BORROW_WAIT:  # short of it itself
+            if give <= 0 or self.environment.now() - self.asked_at < constants.BORROW_WAIT:  # short of it itself
                 return
-            self.more.append((self.desk.now(), give))
-        self.desk.tell(sender, "lend", mark=body["mark"], amount=give)
+            self.more.append((self.environment.now(), give))
+        self.environment.send(sender, "lend", mark=body["mark"], amount=give)
 
     def on_lend(self, sender, body):
         with self.lock:
             if body["mark"] != self.mark or body["amount"] <= 0:
                 return
-            self.loans.append((self.desk.now(), body["amount"]))
+            self.loans.append((self.environment.now(), body["amount"]))
             if self.room() + 1e-9 >= self.need:
-                self.gate.set()
+                self.event.set()
--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -22,11 +22,11 @@
     """One request on its way; `run` yields (text, finish) and raises what went wrong."""
 
     def __init__(self, router, request):
-        self.router, self.desk, self.request = router, router.desk, request
+        self.router, self.environment, self.request = router, router.environment, request
         self.chart = charts.load("request")
         self.fails = []
         self.ran = False  # some send of this request ran or may have
-        self.ask = replica_adapter.ask_of(request, self.desk.random)
+        self.ask = replica_adapter.ask_of(request, self.environment.random)
         self.sends = {"prefill": 0, "decode": 0}  # those written to a replica
         self.tries, self.number = 0, 0  # prefills begun; sends named
         self.without = set()
@@ -86,12 +86,12 @@
         """Takes from the budget what doing it all over costs; waits for it as long as for a place."""
         cost = sum(1 for n in self.sends.values() if n)
         until = min(self.request.cutoff, self.request.born + constants.QUEUE_WAIT)
-        while self.desk.now() < self.request.cutoff:
+        while self.environment.now() < self.request.cutoff:
             if self.router.budget.extra(cost):
                 return True
-            if self.desk.now() >= until:
+            if self.environment.now() >= until:
                 return False
-            self.desk.pause(constants.PLACE_BEAT)
+            self.environment.sleep(constants.PLACE_BEAT)
         return False
 
     def end(self):
--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -30,7 +30,7 @@
 
 class Deliver(delivery_sends.DeliverySends, place_wait.PlaceWait):
     def __init__(self, router, ask):
-        self.router, self.desk, self.ask, self.speech = router, router.desk, ask, router.speech
+        self.router, self.environment, self.ask, self.speech = router, router.environment, ask, router.speech
         self.route = ask.route
         self.again = routes.repeatable(self.route)
         self.fails, self.without = [], set()
@@ -45,12 +45,12 @@
         self.pair = self.handle = self.reply = None
         self.selector = {}  # of the replicas that the pair was taken from
         self.permitted = None  # the tenant of whom this request has a permit
-        self.times = stage_times.StageTimes(self.desk.now)
+        self.times = stage_times.StageTimes(self.environment.now)
         self.event_at = None  # when the last event came from the replica that sends now
-        self.pauses = pauses_module.Pauses(self.desk.now, self.route.get("pause_s"))
+        self.pauses = pauses_module.Pauses(self.environment.now, self.route.get("pause_s"))
 
     def left(self):
-        left = self.ask.cutoff - self.desk.now()
+        left = self.ask.cutoff - self.environment.now()
         if left <= 0:
             raise verdict.SendFailure(NOT_RUN, "cutoff passed")
         return left
@@ -97,9 +97,9 @@
         raise verdict.SendFailure(NOT_RUN, reason)
 
     def may_repeat(self):
-        if self.over or self.ran and not self.again or self.desk.now() >= self.ask.cutoff:
+        if self.over or self.ran and not self.again or self.environment.now() >= self.ask.cutoff:
             return False
-        return self.decodes + self.shed < self.route["tries"] and self.desk.now() < self.give_up()
+        return self.decodes + self.shed < self.route["tries"] and self.environment.now() < self.give_up()
 
     def give_up(self):
         """Past this moment nothing new is begun."""
@@ -148,7 +148,7 @@
         """The reply of a pair's writer; raises SendFailure."""
         try:
             return self.speech.decode(
-                self.desk,
+                self.environment,
                 self.ask,
                 pair.writer,
                 self.handle,
@@ -191,7 +191,7 @@
         self.router.placing.outcomes.answered(name)
         if self.ask.parts:
             self.router.placing.parts.add(name, self.ask.parts)
-        self.event_at = self.desk.now()
+        self.event_at = self.environment.now()
         return reply, first, number, rows
 
     def body(self, begun):
@@ -214,7 +214,7 @@
     def following(self, rows):
         while True:
             if self.reply:
-                span = self.ask.cutoff - self.desk.now()
+                span = self.ask.cutoff - self.environment.now()
                 if self.again and self.last is not None and self.decodes < self.route["tries"]:
                     span = min(span, constants.SILENT_NEXT)
                 self.reply.patience(span)
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -25,7 +25,7 @@
         def ready():
             if not self.plan_is_current() or not self.staying(place):
                 return False
-            if self.desk.now() >= self.ask.cutoff:  # the connection came late, or this process stood still
+            if self.environment.now() >= self.ask.cutoff:  # the connection came late, or this process stood still
                 return False
             if self.ask.caller.has_left():
                 return False
@@ -50,7 +50,7 @@
     def note_caller(self, kind: str, stage: str) -> None:
         """Count what is done over half a second after the caller was seen to have left."""
         left_at = self.ask.caller.left_at()
-        if left_at is not None and self.desk.now() - left_at > constants.CALLER_LEFT:
+        if left_at is not None and self.environment.now() - left_at > constants.CALLER_LEFT:
             self.router.journal.add(kind, outcome=stage, request=self.ask.id)
 
     def staying(self, place):
@@ -83,10 +83,10 @@
 
     def wait_for_lease(self) -> None:
         """A prompt that was read waits a little for a lease that has just run out."""
-        until = self.desk.now() + min(self.left(), constants.LEASE_PATIENCE)
-        while self.router.lease.sequence() is None and self.desk.now() < until:
+        until = self.environment.now() + min(self.left(), constants.LEASE_PATIENCE)
+        while self.router.lease.sequence() is None and self.environment.now() < until:
             self.stop_if_caller_left()
-            self.desk.pause(constants.PLACE_BEAT)
+            self.environment.sleep(constants.PLACE_BEAT)
 
     def may_send(self, role):
         """Takes an extra send from the budget if the next one is beyond the first."""
@@ -103,26 +103,26 @@
     def judge(self, e, place):
         """What a failure says of the replica: silence alone says nothing, it may only be busy."""
         if "Timeout" in e.reason and e.verdict is not NOT_RUN:
-            self.desk.spawn(lambda: self.look(place))
+            self.environment.spawn(lambda: self.look(place))
         elif e.verdict is not NOT_RUN or e.reason.startswith(("NewConnection", "ConnectTimeout")):
             self.router.replicas.failed(place.name)
 
     def look(self, place):
         """A silent replica that still takes a connection is busy; one that does not is out."""
         try:
-            self.desk.kept.look(place.url.removeprefix("http://"))
+            self.environment.kept.look(place.url.removeprefix("http://"))
         except web.WebFault:
             self.router.replicas.failed(place.name)
 
     def prefill(self, pair):
         """The handle, or None when the writer shall read for itself."""
-        began, name, unread = self.desk.now(), pair.reader.name, pair.unread
+        began, name, unread = self.environment.now(), pair.reader.name, pair.unread
         read = min(max(constants.READ_FACTOR * pair.expected, constants.READ_LEAST), constants.READ_MOST, self.left())
         try:
             self.may_send("prefill")
             urgency = identity.urgency_for_replica(self.ask.urgency, pair.rank)
             handle = self.speech.prefill(
-                self.desk, self.ask, pair.reader, self.left(), read, self.check("prefill"), urgency
+                self.environment, self.ask, pair.reader, self.left(), read, self.check("prefill"), urgency
             )
         except verdict.SendFailure as e:
             if e.reason == web.NOT_READY or self.over:
@@ -145,7 +145,7 @@
         finally:
             self.router.placing.read(pair)
         self.router.placing.parts.add(name, self.ask.parts)
-        self.router.placing.measured(name, unread, pair.queued, self.desk.now() - began)
+        self.router.placing.measured(name, unread, pair.queued, self.environment.now() - began)
         self.router.replicas.served(name)
         return handle
 
--- a/mothshed/data_plane/frees.py
+++ b/mothshed/data_plane/frees.py
@@ -14,23 +14,23 @@
 
 
 class Frees:
-    def __init__(self, desk, journal, free=None):
-        self.desk, self.journal = desk, journal
+    def __init__(self, environment, journal, free=None):
+        self.environment, self.journal = environment, journal
         self.free = free or replica_adapter.free
         self.queue = collections.deque(maxlen=constants.FREES_MOST)
         self.late = []  # (due, pause, handle): failed once, tried again
-        self.gate = desk.gate()
+        self.event = environment.new_event()
         self.settled = lambda handle: None  # told once a free is done or pointless
 
     def order(self, handle):
         self.queue.append(handle)
-        self.gate.set()
+        self.event.set()
 
     def run(self):
         while True:
-            self.gate.wait(constants.FREE_BEAT)
-            self.gate.clear()
-            now = self.desk.now()
+            self.event.wait(constants.FREE_BEAT)
+            self.event.clear()
+            now = self.environment.now()
             due = [row[1:] for row in self.late if row[0] <= now]
             self.late = [row for row in self.late if row[0] > now]
             while self.queue:
@@ -40,14 +40,14 @@
 
     def send(self, handle, span):
         try:
-            done = self.free(self.desk, handle)
+            done = self.free(self.environment, handle)
         except web.WebFault:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
-        if done or self.desk.now() - handle.born >= constants.FREE_LIFE:
+        if done or self.environment.now() - handle.born >= constants.FREE_LIFE:
             self.settled(handle)
         else:
-            self.late.append((self.desk.now() + span, 2 * span, handle))
+            self.late.append((self.environment.now() + span, 2 * span, handle))
 
     def left(self):
         return len(self.queue) + sum(row[2].heard for row in self.late)
--- a/mothshed/data_plane/guard.py
+++ b/mothshed/data_plane/guard.py
@@ -15,14 +15,14 @@
 
 
 class Guard:
-    def __init__(self, desk, gossip, frees, journal):
-        self.desk, self.gossip, self.frees, self.journal = desk, gossip, frees, journal
+    def __init__(self, environment, gossip, frees, journal):
+        self.environment, self.gossip, self.frees, self.journal = environment, gossip, frees, journal
         self.kept = collections.OrderedDict()  # (router, request, replica) -> (due, url, engine)
         self.goal = ""
         frees.settled = self.paid
-        desk.hear("owe", self.on_owe)
-        desk.hear("paid", self.on_paid)
-        desk.post(self.tick)
+        environment.subscribe("owe", self.on_owe)
+        environment.subscribe("paid", self.on_paid)
+        environment.post(self.tick)
 
     def neighbour(self):
         """The router that keeps what we owe: the same one while it is in view, else another zone's first."""
@@ -34,15 +34,15 @@
         return self.goal
 
     def owe(self, request, place, left):
-        self.desk.tell(
+        self.environment.send(
             self.neighbour(), "owe", request=request, replica=place.name, url=place.url, engine=place.engine, left=left
         )
 
     def paid(self, handle):
-        self.desk.tell(self.goal, "paid", request=handle.request, replica=handle.replica)
+        self.environment.send(self.goal, "paid", request=handle.request, replica=handle.replica)
 
     def on_owe(self, sender, body):
-        due = self.desk.now() + min(body["left"], constants.CUTOFF_MOST) + constants.GUARD_SLACK
+        due = self.environment.now() + min(body["left"], constants.CUTOFF_MOST) + constants.GUARD_SLACK
         self.kept[(sender, body["request"], body["replica"])] = (due, body["url"], body["engine"])
         while len(self.kept) > constants.GUARD_MOST:
             self.kept.popitem(last=False)
@@ -51,9 +51,9 @@
         self.kept.pop((sender, body["request"], body["replica"]), None)
 
     def tick(self):
-        now = self.desk.now()
+        now = self.environment.now()
         for key in [k for k, row in self.kept.items() if row[0] <= now]:
             due, url, engine = self.kept.pop(key)
             self.journal.add("guard", outcome="freed", replica=key[2])
             self.frees.order(replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now))
-        self.desk.beat(constants.GUARD_BEAT, self.tick)
+        self.environment.call_later(constants.GUARD_BEAT, self.tick)
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -22,7 +22,7 @@
 class Waiter:
     """A request that waits for a permit."""
 
-    gate: typing.Any
+    event: typing.Any
     first_mark: int | None = None  # of the first ask that counts it
     granted: bool = False
     retry_s: float | None = None  # refused: seconds until the tenant's next token
@@ -66,7 +66,7 @@
         self.sequence = 0
         self.mark = int(environment.now() * constants.MARKS_A_SECOND)  # no life before used the same
         for part in self.parts:
-            environment.hear("permits", self.on_permits, part)
+            environment.subscribe("permits", self.on_permits, part)
         leaders.changed.append(self.leader_changed)
 
     def take(
@@ -80,7 +80,7 @@
         if not row.get("rate_per_s"):
             return
         self.refuse_before_next_token(tenant, sequence)
-        waiter = Waiter(self.environment.gate())
+        waiter = Waiter(self.environment.new_event())
         try:
             self.enter(tenant, sequence, waiter)
             self.wait(waiter, until, caller)
@@ -119,7 +119,7 @@
                 return
             if caller is not None and caller.has_left():
                 raise verdict.CallerLeft()
-            waiter.gate.wait(min(left, constants.PERMIT_AGAIN))
+            waiter.event.wait(min(left, constants.PERMIT_AGAIN))
 
     def forget(self, tenant: str, waiter: Waiter) -> None:
         """The request waits no more."""
@@ -146,9 +146,9 @@
             for waiter in rows:
                 waiter.first_mark = waiter.first_mark or self.mark
         counts = {tenant: len(rows) for tenant, rows in asks.waiting.items()}
-        self.environment.beat(asks.again_s(), lambda mark=self.mark: self.ask_again(part, mark))
+        self.environment.call_later(asks.again_s(), lambda mark=self.mark: self.ask_again(part, mark))
         goal = self.leaders.ask(part)
-        self.environment.tell(goal, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts)
+        self.environment.send(goal, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts)
 
     def ask_again(self, part: int, mark: int) -> None:
         """Nobody has answered an ask: it is made anew, perhaps elsewhere."""
@@ -201,7 +201,7 @@
             else:
                 continue
             asks.waiting[tenant].remove(waiter)
-            waiter.gate.set()
+            waiter.event.set()
         if not asks.waiting.get(tenant, True):
             del asks.waiting[tenant]
 
--- a/mothshed/data_plane/place_wait.py
+++ b/mothshed/data_plane/place_wait.py
@@ -22,17 +22,17 @@
 
     def take_place(self, alone: bool) -> pair_module.Pair:
         """A pair of places; waits a little for one. Raises SendFailure if there is none, Bounce without a route."""
-        until = min(self.ask.cutoff, self.desk.now() + self.ask.patience)
+        until = min(self.ask.cutoff, self.environment.now() + self.ask.patience)
         while True:
             self.stop_if_caller_left()
             self.take_permit(until)
             found = self.try_place(alone)
             if isinstance(found, pair_module.Pair):
                 return found
-            if self.desk.now() >= until:
+            if self.environment.now() >= until:
                 self.retry = found.retry_after_s
                 self.give_in(found.reason)
-            self.desk.pause(constants.PLACE_BEAT)
+            self.environment.sleep(constants.PLACE_BEAT)
 
     def take_permit(self, until: float) -> None:
         """Take the permit that this request needs of its tenant, once; raises Bounce if there is none."""
@@ -66,7 +66,7 @@
         self.ask.urgency = identity.urgency(document, route, known) if known else None
         if self.lacks_permit():
             return NoPlace("no permit", constants.PERMIT_RETRY_AFTER)
-        pool = routes.pool_of(route, self.desk.random)
+        pool = routes.pool_of(route, self.environment.random)
         self.selector = document["pools"][pool]["selector"]
         try:
             pair = self.router.placing.pair(sequence, document, pool, self.ask, self.without, alone)
@@ -77,7 +77,7 @@
     def note_late(self) -> None:
         """Count an answer that begins past its aim, by the stage that took longest."""
         aim_s = self.ask.route.get("aim_s")
-        if aim_s is None or self.last is not None or self.desk.now() - self.ask.born <= aim_s:
+        if aim_s is None or self.last is not None or self.environment.now() - self.ask.born <= aim_s:
             return
         longest = self.times.longest()
         if longest:
@@ -85,7 +85,7 @@
 
     def note_event(self) -> None:
         """Count the time from the last event to this one: it tells how many requests a writer carries."""
-        now = self.desk.now()
+        now = self.environment.now()
         self.router.placing.event_times.add(self.pair.writer.name, 1.0, now - self.event_at)
         self.event_at = now
 
--- a/mothshed/data_plane/placing.py
+++ b/mothshed/data_plane/placing.py
@@ -29,21 +29,21 @@
 class Placing:
     """One router's choice of readers and writers, and what it knows to be under way at each replica."""
 
-    def __init__(self, desk: typing.Any, replicas: typing.Any, zone: str) -> None:
-        self.desk, self.replicas, self.zone = desk, replicas, zone
+    def __init__(self, environment: typing.Any, replicas: typing.Any, zone: str) -> None:
+        self.environment, self.replicas, self.zone = environment, replicas, zone
         self.lock = threading.RLock()
         self.parts = prompt_parts.Parts()
         # name -> tokens this router has it read, by rank
         self.reading: dict[str, list[float]] = collections.defaultdict(lambda: [0] * constants.RANKS)
         # part -> (when reported, what all other routers have at its replicas)
         self.others: dict[int, tuple[float, replica_load.Loads]] = {}
-        self.outcomes = outcomes.Outcomes(desk.now)
-        self.event_times = fading.FadingSums(desk.now, constants.OUTCOME_HALF, kinds=2)  # events, s between them
+        self.outcomes = outcomes.Outcomes(environment.now)
+        self.event_times = fading.FadingSums(environment.now, constants.OUTCOME_HALF, kinds=2)  # events, s between them
         self.paces: dict[str, float] = {}  # name -> tokens/s as measured
 
     def take_others(self, part: int, rows: replica_load.Loads) -> None:
         """What all other routers have at a part's replicas, as its leader adds it up."""
-        now = self.desk.now()
+        now = self.environment.now()
         with self.lock:
             self.others[part] = (now, rows)
         for name, load in rows.items():
@@ -60,7 +60,7 @@
 
     def reported(self, name: str) -> list[replica_load.ReplicaLoad]:
         """What others were last reported to have at a replica, unless that is too old."""
-        now = self.desk.now()
+        now = self.environment.now()
         return [rows[name] for when, rows in self.others.values() if name in rows and now - when < constants.USAGE_LIFE]
 
     def queued(self, name: str) -> list[float]:
@@ -113,7 +113,9 @@
         running = {name: self.running(name) for name in free or names}
         fewest = min(running.values())
         about_equal = [name for name in running if running[name] <= fewest + 1 + fewest // 4]
-        return min(about_equal, key=lambda name: (self.far(name, zone), running[name], self.desk.random.random()))
+        return min(
+            about_equal, key=lambda name: (self.far(name, zone), running[name], self.environment.random.random())
+        )
 
     def alone(self, names: list[str], ask: Ask) -> tuple[str, float]:
         """The writer that would have read the prompt by itself soonest, and after how many seconds."""
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass
 class Ask:
-    """A request to be delivered. Times are seconds on the desk's clock."""
+    """A request to be delivered. Times are seconds on the environment's clock."""
 
     id: str
     method: str
@@ -67,11 +67,11 @@
 
 class RouteFront:
     def __init__(self, router):
-        self.router, self.speech, self.desk = router, router.speech, router.desk
+        self.router, self.speech, self.environment = router, router.speech, router.environment
 
     def __call__(self, environ, start):
         router, caller = self.router, environ.get("mothshed.caller") or caller_module.Caller()
-        born = self.desk.now() if caller.arrived is None else caller.arrived
+        born = self.environment.now() if caller.arrived is None else caller.arrived
         if not router.enter():
             return self.fault(start, 503, "this router is stopping", constants.BOUNCE_RETRY)
         way = None
@@ -126,7 +126,7 @@
         if caller_identity is None:
             ask.identity_headers = {k: v for k, v in passed(raw).items() if k.lower() in withheld}
         ask.patience = constants.PLACE_SHARE * route["aim_s"] if "aim_s" in route else constants.PLACE_USUAL
-        ask.patience = max(constants.PLACE_LEAST, ask.patience - (self.desk.now() - born))
+        ask.patience = max(constants.PLACE_LEAST, ask.patience - (self.environment.now() - born))
         ask.caller = caller
         caller.shut_after(ask.cutoff + constants.ANSWER_SLACK)
         return ask
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -29,33 +29,33 @@
 
 
 class Router:
-    def __init__(self, desk, settings, speech=None):
+    def __init__(self, environment, settings, speech=None):
         """speech: an adapter to another way of speaking; its requests are delivered by routes."""
-        self.desk, self.settings, self.speech = desk, settings, speech
+        self.environment, self.settings, self.speech = environment, settings, speech
         self.cell = settings["cell"]
-        self.journal = journal_module.Journal(desk.now)
+        self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(desk, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
+            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
             if speech
-            else replicas_module.Replicas(desk, settings["list_url"], self.journal)
+            else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
-        self.gossip = gossip.Gossip(desk, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
+        self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
         self.replicas.sharers = self.gossip.count_routers
         self.server = None
-        self.lease = lease_module.Lease(desk, self.gossip.keepers, self.apply_limits)
-        self.admission = admission.Admission(desk)
+        self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
+        self.admission = admission.Admission(environment)
         self.budget = budget.Budget(
-            desk, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
+            environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
-        self.frees = frees.Frees(desk, self.journal, (speech or replica_adapter).free)
-        self.placing = placing.Placing(desk, self.replicas, self.cell)
+        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
+        self.placing = placing.Placing(environment, self.replicas, self.cell)
         self.tables = routes.Tables()
-        self.leaders = self.replicas.leaders if speech else leaders.Leaders(desk, self.gossip.keepers)
-        self.permits = permits.Permits(desk, self.leaders, self.journal)
+        self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
+        self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = usage_share.UsageShare(desk, self.replicas, self.placing)
-        self.guard = guard.Guard(desk, self.gossip, self.frees, self.journal)
+            self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
+        self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
@@ -63,8 +63,8 @@
 
     def run(self):
         self.replicas.run()
-        self.desk.spawn(self.frees.run)
-        counters.CountersReport(self.desk, self.totals, self.desk.figures).run()
+        self.environment.spawn(self.frees.run)
+        counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     @contextlib.contextmanager
     def held_wait(self):
@@ -90,9 +90,9 @@
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
         """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
-        until = self.desk.now() + constants.LEASE_PATIENCE
-        while self.lease.sequence() is None and self.desk.now() < until and not caller.has_left():
-            self.desk.pause(constants.PLACE_BEAT)
+        until = self.environment.now() + constants.LEASE_PATIENCE
+        while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
+            self.environment.sleep(constants.PLACE_BEAT)
         if caller.has_left():
             raise verdict.CallerLeft()
         return self.lease.current()
@@ -100,14 +100,14 @@
     def drain(self, most):
         """Lingers while new requests still come, then takes nothing new; True once nothing is left."""
         self.leaving = True
-        self.desk.pause(self.settings.get("linger_s", 0))
+        self.environment.sleep(self.settings.get("linger_s", 0))
         with self.lock:
             self.stopping = True
-        until = self.desk.now() + most
-        while self.desk.now() < until:
+        until = self.environment.now() + most
+        while self.environment.now() < until:
             if not self.busy():
                 return True
-            self.desk.pause(constants.PLACE_BEAT)
+            self.environment.sleep(constants.PLACE_BEAT)
         return False
 
     def busy(self):
@@ -138,8 +138,8 @@
             "frees_left": self.frees.left(),
             "extra_sends_left": self.budget.left(),
             "kept_for_neighbours": len(self.guard.kept),
-            "process": self.desk.figures(),
-            "releases": self.desk.releases(),
+            "process": self.environment.figures(),
+            "releases": self.environment.releases(),
             "neighbours": sorted(self.gossip.view),
             "replicas": sorted(self.replicas.usable({})),
             "leaving": sorted(self.replicas.leaving()),
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -41,12 +41,12 @@
         return front.respond(start, 200 if said["serving"] else 503, said)
 
     def metrics(self, start):
-        return front.respond(start, 200, self.router.totals.text(self.router.desk.figures()).encode())
+        return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
 
     def complete(self, path, environ, start):
         router = self.router
         headers = front.headers_of(environ)
-        headers.setdefault("x-request-id", f"made-{router.desk.random.getrandbits(64):016x}")
+        headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
         if not router.enter():
             return front.fault(
                 start, 503, "this router is stopping", retry=constants.RETRY_AFTER, headers=[("Connection", "close")]
@@ -73,7 +73,7 @@
     def read(self, path, environ, headers, caller):
         """The request; its waits and cutoff count from when it arrived, not from when a thread was free."""
         router = self.router
-        born, data = caller.arrived if caller else router.desk.now(), front.body_of(environ)
+        born, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
         document = router.lease.document()
         if document is None:
             raise verdict.Bounce(503, "no configuration yet", constants.RETRY_AFTER, "no_configuration")
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -24,16 +24,16 @@
 
     def sequence(self):
         """The sequence to send under, waited for a little when the lease just lapsed."""
-        until = min(self.request.cutoff, self.desk.now() + constants.LEASE_WAIT)
+        until = min(self.request.cutoff, self.environment.now() + constants.LEASE_WAIT)
         while True:
             self.stop_if_caller_left()
             sequence, document = self.router.lease.current()
             if sequence is not None:
                 self.check_tenant(sequence, document)
                 return sequence, document
-            if self.desk.now() >= until:
+            if self.environment.now() >= until:
                 raise verdict.SendFailure(NOT_RUN, "no lease")
-            self.desk.pause(constants.PLACE_BEAT)
+            self.environment.sleep(constants.PLACE_BEAT)
 
     def check_tenant(self, sequence: int, document: dict[str, typing.Any]) -> None:
         """Asks again who the request comes from, under each newer document; raises its end if that has changed."""
@@ -91,7 +91,7 @@
             raise verdict.CallerLeft()
 
     def left(self):
-        left = self.request.cutoff - self.desk.now()
+        left = self.request.cutoff - self.environment.now()
         if left <= 0:
             raise verdict.SendFailure(NOT_RUN, "cutoff passed")
         return left
@@ -105,7 +105,7 @@
     def replan(self, plan, sequence, document):
         """The plan made anew under a newer configuration, in the place of the old one."""
         replicas, request = self.router.replicas, self.request
-        until = min(request.cutoff, self.desk.now() + constants.QUEUE_WAIT)
+        until = min(request.cutoff, self.environment.now() + constants.QUEUE_WAIT)
         for name in (self.reading, self.writing):
             replicas.end(name)
         self.reading = self.writing = None
@@ -120,10 +120,10 @@
                     replicas.begin(self.reading)
                     replicas.begin(self.writing)
                     return
-            if self.desk.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
+            if self.environment.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
             with self.router.held_wait():
-                self.desk.pause(constants.PLACE_BEAT)
+                self.environment.sleep(constants.PLACE_BEAT)
 
     def prefill(self, plan):
         self.tries += 1
@@ -134,14 +134,14 @@
                 self.replan(plan, sequence, document)
                 continue
             left, name = self.left() * (constants.SAFE_WAIT if self.request.safe else 1.0), self.name()
-            self.router.guard.owe(name, plan.reader, self.request.cutoff - self.desk.now())
+            self.router.guard.owe(name, plan.reader, self.request.cutoff - self.environment.now())
             try:
                 self.handle = replica_adapter.prefill(
-                    self.desk, self.request, name, plan.reader, sequence, left, self.ready(sequence, "prefill")
+                    self.environment, self.request, name, plan.reader, sequence, left, self.ready(sequence, "prefill")
                 )
                 break
             except verdict.SendFailure as e:
-                doubt = replica_adapter.unheard(self.desk, name, plan.reader)
+                doubt = replica_adapter.unheard(self.environment, name, plan.reader)
                 if e.verdict is NOT_RUN:
                     self.router.guard.paid(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
@@ -160,11 +160,11 @@
             if plan.writer is None or not planning.still_fits(replicas, document, self.request, plan.writer):
                 writer = planning.writer_again(replicas, document, self.request, self.router.cell, bounced)
                 if writer is None:  # the prompt is read: worth a wait for a place
-                    if self.desk.now() >= until:
+                    if self.environment.now() >= until:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
                     bounced.clear()
                     with self.router.held_wait():
-                        self.desk.pause(constants.PLACE_BEAT)
+                        self.environment.sleep(constants.PLACE_BEAT)
                     continue
                 replicas.end(self.writing)
                 plan.writer, self.writing = writer, writer.name
@@ -174,7 +174,7 @@
             self.chart.step("decode")
             try:
                 stream = replica_adapter.decode(
-                    self.desk,
+                    self.environment,
                     self.request,
                     self.name(),
                     plan.writer,
@@ -189,8 +189,8 @@
                     continue
                 again = e.verdict is NOT_RUN and not e.gone
                 while again and not self.router.budget.extra(int(self.sends["decode"] > 0)):
-                    again = self.desk.now() < until
-                    self.desk.pause(constants.PLACE_BEAT)
+                    again = self.environment.now() < until
+                    self.environment.sleep(constants.PLACE_BEAT)
                 if not again:
                     raise
                 self.note(e)
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -13,16 +13,16 @@
 
 
 class UsageShare:
-    def __init__(self, desk, replicas, placing):
-        self.desk, self.replicas, self.placing, self.leaders = desk, replicas, placing, replicas.leaders
+    def __init__(self, environment, replicas, placing):
+        self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
         self.busy_at, self.mark = -1e9, 0
         for part in range(1, constants.PARTS):
-            desk.hear("usages", self.on_usages, part)
-        desk.post(self.tick)
+            environment.subscribe("usages", self.on_usages, part)
+        environment.post(self.tick)
 
     def rows(self):
         """part -> {replica: ReplicaLoad}, of replicas of which there is anything to tell."""
-        found, now = {}, self.desk.now()
+        found, now = {}, self.environment.now()
         with self.replicas.lock:
             for name, row in self.replicas.rows.items():
                 part = found.setdefault(parts.part_of(row["service"]), {})
@@ -41,14 +41,16 @@
         return found
 
     def tick(self):
-        now, rows = self.desk.now(), self.rows()
+        now, rows = self.environment.now(), self.rows()
         if any(load.requests for own in rows.values() for load in own.values()):
             self.busy_at = now
         for part, own in rows.items():
             self.mark += 1
-            self.desk.tell(self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own))
+            self.environment.send(
+                self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
+            )
         busy = now - self.busy_at < constants.USAGE_IDLE
-        self.desk.beat(constants.USAGE_BEAT if busy else constants.USAGE_IDLE, self.tick)
+        self.environment.call_later(constants.USAGE_BEAT if busy else constants.USAGE_IDLE, self.tick)
 
     def on_usages(self, sender, body):
         self.leaders.heard(body["part"], sender)
--- a/mothshed/programs/environment.py
+++ b/mothshed/programs/environment.py
@@ -1,9 +1,9 @@
 """What a process takes from outside: clock, timers, mailbox, network, chance.
 
 Parts of a process never read a clock or open a socket themselves; they are
-given a Desk. This is the real one: CLOCK_BOOTTIME, a pykka actor as mailbox so
+given an Environment. This is the real one: CLOCK_BOOTTIME, a pykka actor as mailbox so
 that a part's callbacks run one at a time, one thread that keeps all timers, and
-the peers' held connections. The simulator has a Desk of the same shape.
+the peers' held connections. The simulator has an Environment of the same shape.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class Tasks:
-    """Clock, pauses, gates, tasks, HTTP and chance: what straight-down code takes."""
+    """Clock, pauses, events, tasks, HTTP and chance: what straight-down code takes."""
 
     def __init__(self):
         self.random = random.Random()
@@ -32,10 +32,10 @@
     def now(self):
         return clock.now()
 
-    def pause(self, span):
+    def sleep(self, span):
         time.sleep(span)
 
-    def gate(self):
+    def new_event(self):
         return threading.Event()
 
     def spawn(self, call):
@@ -50,34 +50,34 @@
         threading.Thread(target=run, daemon=True).start()
 
 
-class Desk(Tasks):
-    """Tasks, and the mailbox, beats and peers that callbacks take."""
+class Environment(Tasks):
+    """Tasks, and the mailbox, timers and peers that callbacks take."""
 
-    def __init__(self, beats, peers, address):
+    def __init__(self, timers, peers, address):
         super().__init__()
-        self.beats = beats
+        self.timers = timers
         self.peers = peers
         self.address = address
-        self.box = mailbox.Mailbox.start()
+        self.mailbox = mailbox.Mailbox.start()
 
     def post(self, call):
         try:
-            self.box.tell(call)
+            self.mailbox.tell(call)
         except pykka.ActorDeadError:
             pass
 
-    def beat(self, delay, call):
-        return self.beats.add(delay, self.post, call)
+    def call_later(self, delay, call):
+        return self.timers.add(delay, self.post, call)
 
-    def tell(self, goal, kind, **body):
+    def send(self, goal, kind, **body):
         self.peers.send(goal, kind, **body)
 
     def send_to_each(self, addresses: collections.abc.Iterable[str], kind: str, **body: typing.Any) -> None:
         """The same record to several processes, packed once."""
         self.peers.send_to_each(addresses, kind, **body)
 
-    def hear(self, kind, call, part=None):
-        """Calls call(sender, body) in this desk's mailbox for records of a kind."""
+    def subscribe(self, kind, call, part=None):
+        """Calls call(sender, body) in this environment's mailbox for records of a kind."""
         self.peers.subscribe(kind, part, lambda who, body: self.post(lambda: call(who, body)))
 
     def releases(self) -> dict[str, int]:
@@ -89,4 +89,4 @@
         return {"threads": threading.active_count(), **self.peers.figures()}
 
     def stop(self):
-        self.box.stop(block=False)
+        self.mailbox.stop(block=False)
--- a/mothshed/programs/keep.py
+++ b/mothshed/programs/keep.py
@@ -27,7 +27,7 @@
 
 def keep(settings: dict[str, typing.Any]) -> None:
     """Run a keeper until it is asked to stop; raises serving.ProgramEnd or DiskFault."""
-    make = serving.desks(settings)
+    make = serving.environments(settings)
     keeper = keeper_module.Keeper(make(), settings, make, serving.open_disk(settings["data"]))
     ring.hold(keeper.journal)
     keeper.run()
--- a/mothshed/programs/route.py
+++ b/mothshed/programs/route.py
@@ -27,7 +27,7 @@
 
 def route(settings: dict[str, typing.Any]) -> None:
     """Run a router until it is asked to stop; raises serving.ProgramEnd."""
-    router = router_module.Router(serving.desks(settings)(), settings)
+    router = router_module.Router(serving.environments(settings)(), settings)
     ring.hold(router.journal)
     router.run()
     serving.serve(router.front(), lambda: router.drain(settings.get("drain_s", constants.DRAIN_MOST)))
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -1,4 +1,4 @@
-"""Running a daemon: its desks, its disk, its fronts, signals and the long wait.
+"""Running a daemon: its environments, its disk, its fronts, signals and the long wait.
 
 Nothing here reads flags or knows a command line's library: a daemon that is started with settings alone, as on
 the platform, is up sooner and smaller without it.
@@ -13,7 +13,7 @@
 import mothshed.configuration.settings as settings_module
 import mothshed.constants as constants
 import mothshed.http.front as front
-import mothshed.programs.environment as environment
+import mothshed.programs.environment as environment_module
 import mothshed.runtime.ring as ring
 import mothshed.runtime.timers as timers
 import mothshed.storage.disk as disk_module
@@ -28,14 +28,14 @@
         self.code = code
 
 
-def desks(settings):
-    """A maker of desks that share one clock thread and one set of peers."""
-    beats = timers.Timers()
+def environments(settings):
+    """A maker of environments that share one clock thread and one set of peers."""
+    shared_timers = timers.Timers()
     try:
         own = peers.Peers(settings["address"], settings.get("listen"))
     except OSError as e:
         raise ProgramEnd(3, f"cannot listen on {settings.get('listen') or settings['address']}: {e}") from e
-    return lambda: environment.Desk(beats, own, settings["address"])
+    return lambda: environment_module.Environment(shared_timers, own, settings["address"])
 
 
 def serve_ready(address, path, ready):
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -39,8 +39,8 @@
 
 
 class Replicas:
-    def __init__(self, desk, list_url, journal):
-        self.desk, self.list_url, self.journal = desk, list_url, journal
+    def __init__(self, environment, list_url, journal):
+        self.environment, self.list_url, self.journal = environment, list_url, journal
         self.rows = {}  # name -> row of the platform's list
         self.conditions = {}  # name -> {"at", "own", "c"}
         self.marks = {}  # name -> when a neighbour's list showed it leaving
@@ -53,20 +53,20 @@
         self.tried_at = -1e9  # last time it was asked, answered or not
 
     def run(self):
-        self.desk.spawn(self.read_lists)
-        self.desk.spawn(self.probe_all)
+        self.environment.spawn(self.read_lists)
+        self.environment.spawn(self.probe_all)
 
     def read_lists(self):
         while True:
             try:
-                self.take_list(platform_list.read(self.desk, self.list_url))
+                self.take_list(platform_list.read(self.environment, self.list_url))
             except web.WebFault as e:
                 self.journal.add("list", outcome="failed", reason=str(e))
-            self.tried_at = self.desk.now()
-            self.desk.pause(constants.LIST_BEAT)
+            self.tried_at = self.environment.now()
+            self.environment.sleep(constants.LIST_BEAT)
 
     def take_list(self, rows):
-        now = self.desk.now()
+        now = self.environment.now()
         with self.lock:
             self.rows, self.list_at = rows, now
             self.marks = {n: at for n, at in self.marks.items() if at > now - constants.LEAVE_KEEP}
@@ -81,18 +81,18 @@
 
     def probe_all(self):
         while True:
-            now = self.desk.now()
+            now = self.environment.now()
             for name, row in list(self.rows.items()):
                 seen = self.conditions.get(name)
                 if name not in self.probing and (not seen or now - seen["at"] > constants.PROBE_BEAT * 0.8):
                     self.probing.add(name)
-                    self.desk.spawn(lambda name=name, url=row["url"]: self.probe(name, url))
-            self.desk.pause(constants.PROBE_BEAT / 2)
+                    self.environment.spawn(lambda name=name, url=row["url"]: self.probe(name, url))
+            self.environment.sleep(constants.PROBE_BEAT / 2)
 
     def probe(self, name, url):
-        own, at = self.mine.get(name, 0), self.desk.now()
+        own, at = self.mine.get(name, 0), self.environment.now()
         try:
-            self.take_condition(name, at, own, replica_adapter.condition(self.desk, url))
+            self.take_condition(name, at, own, replica_adapter.condition(self.environment, url))
             self.silent.pop(name, None)
         except web.WebFault as e:
             self.journal.add("probe", outcome="failed", replica=name, reason=str(e))
@@ -109,7 +109,7 @@
                 self.conditions[name] = {"at": at, "own": own, "c": said}
 
     def leaving_hints(self):
-        now = self.desk.now()
+        now = self.environment.now()
         with self.lock:
             return [
                 {
@@ -121,18 +121,18 @@
 
     def hints(self):
         """Who is leaving first, then conditions in any order, since a record may hold only some."""
-        now, gone = self.desk.now(), self.leaving_hints()
+        now, gone = self.environment.now(), self.leaving_hints()
         with self.lock:
             rows = [
                 {"replica": n, "age": round(now - s["at"], 3), "c": s["c"]}
                 for n, s in self.conditions.items()
                 if now - s["at"] < constants.HINT_LIFE
             ]
-        self.desk.random.shuffle(rows)
+        self.environment.random.shuffle(rows)
         return gone + rows
 
     def take_hint(self, hint):
-        at = self.desk.now() - max(0.0, hint["age"])
+        at = self.environment.now() - max(0.0, hint["age"])
         if "leaving" in hint:
             with self.lock:
                 self.marks[hint["leaving"]] = max(at, self.marks.get(hint["leaving"], at))
@@ -141,11 +141,11 @@
             self.take_condition(name, at, self.mine.get(name, 0), hint["c"])
 
     def doubt(self, name, span=constants.DOUBT):
-        self.doubts[name] = self.desk.now() + span
+        self.doubts[name] = self.environment.now() + span
 
     def usable(self, selector, role=None):
         """name -> condition of the listed, staying, lately heard replicas under a selector."""
-        now, found = self.desk.now(), {}
+        now, found = self.environment.now(), {}
         if now - self.tried_at > constants.LIST_TRIED:
             return found
         with self.lock:
@@ -183,7 +183,7 @@
         free = max(0, c["slots"] + constants.REPLICA_SLACK - c["run"] - c["wait"])
         if "share" not in seen:
             share = free * constants.SHARE_MORE / max(1, self.sharers())
-            seen["share"] = int(share) + (self.desk.random.random() < share % 1)
+            seen["share"] = int(share) + (self.environment.random.random() < share % 1)
         return self.mine.get(name, 0) - seen["own"] < min(seen["share"], free)
 
     def full(self, name):
--- a/mothshed/replicas/leaders.py
+++ b/mothshed/replicas/leaders.py
@@ -8,16 +8,16 @@
 
 
 class Leaders:
-    def __init__(self, desk, keepers):
-        self.desk, self.keepers = desk, keepers
+    def __init__(self, environment, keepers):
+        self.environment, self.keepers = environment, keepers
         self.known, self.since, self.turn = {}, {}, 0  # part -> address; when an ask first went unanswered
         self.changed = []  # call(part) when somebody is named as its leader
         for part in range(1, constants.PARTS):
-            desk.hear("look_elsewhere", self.on_look_elsewhere, part)
+            environment.subscribe("look_elsewhere", self.on_look_elsewhere, part)
 
     def ask(self, part):
         """The address to ask now; each ask left unanswered counts towards silence."""
-        now = self.desk.now()
+        now = self.environment.now()
         if now - self.since.setdefault(part, now) > constants.USAGE_SILENT:
             self.known.pop(part, None)
             self.since[part] = now
--- a/mothshed/replicas/listed.py
+++ b/mothshed/replicas/listed.py
@@ -15,27 +15,29 @@
 
 
 class Listed(replicas.Replicas):
-    def __init__(self, desk, list_url, journal, speech, keepers):
-        super().__init__(desk, list_url, journal)
+    def __init__(self, environment, list_url, journal, speech, keepers):
+        super().__init__(environment, list_url, journal)
         self.speech = speech
-        self.leaders = leaders.Leaders(desk, keepers)
+        self.leaders = leaders.Leaders(environment, keepers)
         self.fails = {}  # name -> failures in a row
         self.number = 0  # of the list's news that is held
-        self.fresh_at = desk.now() + constants.LIST_SILENT * desk.random.random()  # when the list held was read
+        self.fresh_at = (
+            environment.now() + constants.LIST_SILENT * environment.random.random()
+        )  # when the list held was read
         self.reading = False
         self.silent, self.ask_span = constants.LIST_SILENT, constants.LIST_ASK
-        desk.hear("list_news", self.on_news, constants.LIST_PART)
+        environment.subscribe("list_news", self.on_news, constants.LIST_PART)
 
     def run(self):
-        self.desk.post(self.tick)
+        self.environment.post(self.tick)
 
     def tick(self):
         goal = self.leaders.ask(constants.LIST_PART)
-        self.desk.tell(goal, "list_ask", part=constants.LIST_PART, number=self.number)
-        if self.desk.now() - self.fresh_at > self.silent and not self.reading:
+        self.environment.send(goal, "list_ask", part=constants.LIST_PART, number=self.number)
+        if self.environment.now() - self.fresh_at > self.silent and not self.reading:
             self.reading = True
-            self.desk.spawn(self.read_list)
-        self.desk.beat(self.next_ask() * (0.9 + 0.2 * self.desk.random.random()), self.tick)
+            self.environment.spawn(self.read_list)
+        self.environment.call_later(self.next_ask() * (0.9 + 0.2 * self.environment.random.random()), self.tick)
 
     def next_ask(self) -> float:
         """Seconds until the reader of the list is asked again: soon while no list is here, since nobody is served."""
@@ -49,24 +51,24 @@
         rows = {} if body["whole"] else {n: r for n, r in self.rows.items() if n not in body["gone"]}
         self.number = body["number"]
         self.take_list({**rows, **body["rows"]})
-        self.fresh_at = self.list_at = self.desk.now() - max(0.0, body["age"])
+        self.fresh_at = self.list_at = self.environment.now() - max(0.0, body["age"])
 
     def read_list(self):
         """No news, or old news: the list is read here."""
-        began = self.desk.now()
+        began = self.environment.now()
         try:
-            rows = self.speech.rows(self.desk, self.list_url)
+            rows = self.speech.rows(self.environment, self.list_url)
             self.take_list(rows)
             self.number, self.fresh_at = 0, began
         except web.WebFault as e:
             self.journal.add("list", outcome="failed", reason=str(e))
-            self.fresh_at += constants.LIST_ASK * self.desk.random.random()
+            self.fresh_at += constants.LIST_ASK * self.environment.random.random()
         finally:
             self.reading = False
 
     def take_list(self, rows):
         super().take_list(rows)
-        now = self.desk.now()
+        now = self.environment.now()
         with self.lock:
             for name, row in rows.items():
                 self.conditions[name] = {
@@ -89,7 +91,7 @@
         return self.leaving_hints()
 
     def usable(self, selector, role=None):
-        now, found = self.desk.now(), {}
+        now, found = self.environment.now(), {}
         with self.lock:
             leaving = self.leaving()
             for name, row in self.rows.items():
--- a/mothshed/replicas/platform_list.py
+++ b/mothshed/replicas/platform_list.py
@@ -9,8 +9,8 @@
 import mothshed.http.web as web
 
 
-def read(desk, url):
-    status, said = desk.web.poll("GET", url, read=constants.LIST_TIME)
+def read(environment, url):
+    status, said = environment.web.poll("GET", url, read=constants.LIST_TIME)
     if status != 200:
         raise web.WebFault(f"list status {status}", True)
     return parse(said)
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -86,7 +86,7 @@
     return verdict.SendFailure(proof, f"status {response.status} {kind}".strip(), replica, gone=kind == "kv_gone")
 
 
-def prefill(desk, request, name, place, sequence, left, ready):
+def prefill(environment, request, name, place, sequence, left, ready):
     """Orders the prefill under the send's name; returns the Handle, its one token is discarded.
 
     ready() is asked once the connection stands, right before the send.
@@ -98,9 +98,9 @@
         "kv_transfer_params": {"do_remote_decode": True, "do_remote_prefill": False},
     }
     body.pop("stream_options", None)
-    born = desk.now()
+    born = environment.now()
     try:
-        response = desk.web.send(
+        response = environment.web.send(
             "POST",
             place.url + request.path,
             body,
@@ -127,16 +127,16 @@
     return Handle(name, place.name, place.url, params["remote_engine_id"], params, born)
 
 
-def unheard(desk, name, place):
+def unheard(environment, name, place):
     """A handle for what a prefill without a whole answer may hold."""
-    return Handle(name, place.name, place.url, place.engine, {"remote_block_ids": []}, desk.now(), False)
+    return Handle(name, place.name, place.url, place.engine, {"remote_block_ids": []}, environment.now(), False)
 
 
-def decode(desk, request, name, place, handle, sequence, left, ready):
+def decode(environment, request, name, place, handle, sequence, left, ready):
     """Orders the decode; returns an iterator of (text, finish reason) that ends only when whole."""
     if handle.request.rsplit(".", 1)[0] != name.rsplit(".", 1)[0]:
         raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", place.name, gone=True)
-    if desk.now() - handle.born > constants.HANDLE_LIFE:
+    if environment.now() - handle.born > constants.HANDLE_LIFE:
         raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", place.name, gone=True)
     body = {
         **request.body,
@@ -145,7 +145,7 @@
     }
     body.pop("stream_options", None)
     try:
-        response = desk.web.send(
+        response = environment.web.send(
             "POST",
             place.url + request.path,
             body,
@@ -158,21 +158,21 @@
             raise bad_status(response, place.name)
     except web.WebFault as e:
         raise fail_of(e, place.name) from e
-    return Stream(desk, name, place, response, left)
+    return Stream(environment, name, place, response, left)
 
 
 class Stream:
     """The decode replica's tokens. Iterating raises SendFailure unless the end was whole."""
 
-    def __init__(self, desk, name, place, response, left):
-        self.desk, self.name, self.place, self.response = desk, name, place, response
-        self.until = desk.now() + left
+    def __init__(self, environment, name, place, response, left):
+        self.environment, self.name, self.place, self.response = environment, name, place, response
+        self.until = environment.now() + left
 
     def __iter__(self):
         finish, done = None, False
         try:
             for line in self.response.lines():
-                if self.desk.now() > self.until:
+                if self.environment.now() > self.until:
                     raise ValueError("cutoff passed")
                 line = line.strip()
                 if not line:
@@ -208,19 +208,19 @@
         self.response.close()
 
 
-def free(desk, handle):
+def free(environment, handle):
     """Orders the free; True once the replica holds the blocks no more.
 
     "Not held" ends the matter for a handle that came back; for one that never did
     the export may still be coming, so only a free that was carried out does.
     """
     body = {"engine_id": handle.engine, "request_id": handle.request, "block_ids": handle.params["remote_block_ids"]}
-    status, said = desk.web.poll("POST", handle.address + "/kv/free", body, read=constants.FREE_TIME)
+    status, said = environment.web.poll("POST", handle.address + "/kv/free", body, read=constants.FREE_TIME)
     return status == 200 or status == 404 and handle.heard
 
 
-def condition(desk, url):
-    status, said = desk.web.poll("GET", url + "/condition")
+def condition(environment, url):
+    status, said = environment.web.poll("GET", url + "/condition")
     if status != 200 or not isinstance(said, dict):
         raise web.WebFault(f"status {status}", True)
     try:
@@ -237,10 +237,10 @@
         raise web.WebFault(f"condition: {e!r}", True) from e
 
 
-def order_role(desk, place, role, standing, holder, sequence, ready=lambda: True):
+def order_role(environment, place, role, standing, holder, sequence, ready=lambda: True):
     """Orders a role under a standing: True when the replica took it. ready() is the last check before the write."""
     body = {"role": role, "standing": standing, "holder": holder, "sequence": sequence}
-    response = desk.web.send("POST", place.url + "/role", body, read=constants.ORDER_TIME, ready=ready)
+    response = environment.web.send("POST", place.url + "/role", body, read=constants.ORDER_TIME, ready=ready)
     status = response.status
     response.body()
     return status == 200
--- a/mothshed/transport/gossip.py
+++ b/mothshed/transport/gossip.py
@@ -12,9 +12,9 @@
 
 
 class Gossip:
-    def __init__(self, desk, name, kind, cell, seeds, replicas=None, memory=None):
-        self.desk, self.name, self.kind, self.cell = desk, name, kind, cell
-        self.seeds = [s for s in seeds if s != desk.address]
+    def __init__(self, environment, name, kind, cell, seeds, replicas=None, memory=None):
+        self.environment, self.name, self.kind, self.cell = environment, name, kind, cell
+        self.seeds = [s for s in seeds if s != environment.address]
         self.replicas = replicas
         self.view = {}  # address -> {"age", "kind", "cell", "name"}
         self.keeps = {}  # keeper address -> time last vouched for
@@ -22,22 +22,24 @@
         self.rounds = 0
         self.waiting = None  # neighbour asked in the last round
         self.memory = memory  # of addresses, for those with a disk; see remembered.py
-        desk.hear("shuffle", self.on_shuffle)
-        desk.post(self.tick)
+        environment.subscribe("shuffle", self.on_shuffle)
+        environment.post(self.tick)
 
     def new_seeds(self, seeds):
         """Other seeds than those told at the start."""
-        self.seeds = [s for s in seeds if s != self.desk.address]
+        self.seeds = [s for s in seeds if s != self.environment.address]
 
     def me(self):
-        return [self.desk.address, 0, self.kind, self.cell, self.name]
+        return [self.environment.address, 0, self.kind, self.cell, self.name]
 
     def tick(self):
         self.shuffle()
         if self.memory:
             for goal in self.memory.to_call(set(self.view)):
                 self.greet(goal)
-        self.desk.beat(transport_constants.SHUFFLE_INTERVAL * (0.8 + 0.4 * self.desk.random.random()), self.tick)
+        self.environment.call_later(
+            transport_constants.SHUFFLE_INTERVAL * (0.8 + 0.4 * self.environment.random.random()), self.tick
+        )
 
     def shuffle(self):
         self.rounds += 1
@@ -51,7 +53,7 @@
         if not self.view:  # alone: any seed that lives will do
             goals = self.seeds
         elif self.seeds and self.rounds % 8 == 0:
-            goals = [self.desk.random.choice(self.seeds)]
+            goals = [self.environment.random.choice(self.seeds)]
         else:
             self.waiting = max(self.view, key=lambda a: self.view[a]["age"])
             goals = [self.waiting]
@@ -59,40 +61,40 @@
             self.greet(goal)
 
     def greet(self, goal):
-        self.desk.tell(goal, "shuffle", view=self.some(goal), hints=self.hints(), reply=False)
+        self.environment.send(goal, "shuffle", view=self.some(goal), hints=self.hints(), reply=False)
 
     def some(self, goal):
         rows = [[a, r["age"], r["kind"], r["cell"], r["name"]] for a, r in self.view.items() if a != goal]
-        pick = self.desk.random.sample(rows, min(len(rows), transport_constants.SHUFFLE_MOST - 1))
+        pick = self.environment.random.sample(rows, min(len(rows), transport_constants.SHUFFLE_MOST - 1))
         return pick + [self.me()]
 
     def on_shuffle(self, sender, body):
         if self.memory:
             self.memory.heard(sender)
         if not body["reply"]:
-            self.desk.tell(sender, "shuffle", view=self.some(sender), hints=self.hints(), reply=True)
+            self.environment.send(sender, "shuffle", view=self.some(sender), hints=self.hints(), reply=True)
         elif sender == self.waiting:
             self.waiting = None
         for address, age, kind, cell, name in body["view"]:
-            if address == self.desk.address:
+            if address == self.environment.address:
                 continue
             if kind == "route":
-                self.routers[address] = self.desk.now()
+                self.routers[address] = self.environment.now()
             old = self.view.get(address)
             if old is None or old["age"] > age:
                 self.view[address] = {"age": age, "kind": kind, "cell": cell, "name": name}
         while len(self.view) > transport_constants.VIEW_MOST:
-            worst = max(self.view, key=lambda a: (self.view[a]["age"], self.desk.random.random()))
+            worst = max(self.view, key=lambda a: (self.view[a]["age"], self.environment.random.random()))
             del self.view[worst]
         for hint in body["hints"]:
             self.take(hint)
 
     def hints(self):
-        now = self.desk.now()
+        now = self.environment.now()
         self.keeps = {a: t for a, t in self.keeps.items() if now - t < 5 * constants.HINT_LIFE}
         self.routers = {a: t for a, t in self.routers.items() if now - t < 5 * constants.HINT_LIFE}
         if self.kind == "keep":
-            self.keeps[self.desk.address] = now
+            self.keeps[self.environment.address] = now
         rows = [{"keep": a, "age": round(now - t, 3)} for a, t in self.keeps.items()]
         if self.replicas:
             rows += self.replicas.hints()
@@ -100,7 +102,7 @@
 
     def take(self, hint):
         if "keep" in hint:
-            at = self.desk.now() - max(0.0, hint["age"])
+            at = self.environment.now() - max(0.0, hint["age"])
             self.keeps[hint["keep"]] = max(at, self.keeps.get(hint["keep"], at))
         elif self.replicas:
             self.replicas.take_hint(hint)
@@ -110,11 +112,11 @@
 
     def count_routers(self):
         """About how many routers there are, this one included."""
-        old = self.desk.now() - 5 * constants.HINT_LIFE
+        old = self.environment.now() - 5 * constants.HINT_LIFE
         return 1 + sum(at > old for at in list(self.routers.values()))
 
     def keepers(self):
         """Addresses to ask for the leader: those vouched for lately, then the seeds."""
         keeps = dict(self.keeps)  # other threads ask too, while the mailbox drops those unheard of
         late = sorted(keeps, key=lambda address: -keeps[address])
-        return [a for a in late if a != self.desk.address] + [s for s in self.seeds if s not in keeps]
+        return [a for a in late if a != self.environment.address] + [s for s in self.seeds if s not in keeps]
--- a/mothshed/transport/remembered.py
+++ b/mothshed/transport/remembered.py
@@ -19,11 +19,11 @@
 class Remembered:
     """The remembered addresses and when each was last heard of."""
 
-    def __init__(self, desk, disk):
-        self.desk, self.disk = desk, disk
-        self.turn, self.writing, self.written_at = 0, False, desk.now()
+    def __init__(self, environment, disk):
+        self.environment, self.disk = environment, disk
+        self.turn, self.writing, self.written_at = 0, False, environment.now()
         self.kept = self.read()
-        self.at = dict.fromkeys(self.kept, desk.now() - transport_constants.CALL_SILENT)  # address -> last heard
+        self.at = dict.fromkeys(self.kept, environment.now() - transport_constants.CALL_SILENT)  # address -> last heard
 
     def read(self):
         """The addresses last written; none if they cannot be read."""
@@ -36,12 +36,12 @@
 
     def heard(self, address):
         """Notes that a message from this address came now."""
-        if address != self.desk.address:
-            self.at[address] = self.desk.now()
+        if address != self.environment.address:
+            self.at[address] = self.environment.now()
 
     def to_call(self, near):
         """A few of those not heard of lately, each in its turn; writes down what changed."""
-        now = self.desk.now()
+        now = self.environment.now()
         self.at = {a: t for a, t in self.at.items() if now - t < transport_constants.REMEMBER_LIFE}
         while len(self.at) > transport_constants.REMEMBER_MOST:
             del self.at[min(self.at, key=self.at.get)]
@@ -51,7 +51,7 @@
             and now - self.written_at > transport_constants.REMEMBER_INTERVAL
         ):
             self.writing, self.kept = True, sorted(self.at)
-            self.desk.spawn(lambda rows=self.kept: self.write(rows))
+            self.environment.spawn(lambda rows=self.kept: self.write(rows))
         silent = sorted(a for a, t in self.at.items() if now - t >= transport_constants.CALL_SILENT and a not in near)
         self.turn += transport_constants.CALL_MOST
         return [silent[(self.turn + n) % len(silent)] for n in range(min(transport_constants.CALL_MOST, len(silent)))]
@@ -64,4 +64,4 @@
             ring.note("neighbours_unwritten", reason=str(e))
             self.kept = []  # tried again on a later beat
         finally:
-            self.writing, self.written_at = False, self.desk.now()
+            self.writing, self.written_at = False, self.environment.now()
--- a/tests/all_orders.py
+++ b/tests/all_orders.py
@@ -10,7 +10,7 @@
 import types
 
 import mothshed.transport.records as records
-import tools.simulator.desk as desk_module
+import tools.simulator.environment as environment_module
 
 
 class Pool:
@@ -28,40 +28,40 @@
             call(sender, body)
 
 
-class HandDesk:
-    """A desk whose time and messages are moved by hand; beats never come by themselves."""
+class ManualEnvironment:
+    """An environment whose time and messages are moved by hand; timers never fire by themselves."""
 
     def __init__(self, pool, address, chance=1):
         self.pool, self.address = pool, address
         self.random = random.Random(chance)
-        self.beats = []
+        self.timers = []
 
     def now(self):
         return self.pool.time
 
     def post(self, call):
-        self.beats.append(call)
+        self.timers.append(call)
 
-    def beat(self, delay, call):
-        self.beats.append(call)
+    def call_later(self, delay, call):
+        self.timers.append(call)
         return types.SimpleNamespace(cancel=lambda: None)
 
-    def tell(self, goal, kind, **body):
+    def send(self, goal, kind, **body):
         if goal:
             records.CODEC.check_fields(kind, body)  # what a record does not carry would be lost on the way
             self.pool.waiting.append((goal, self.address, kind, body))
 
     def send_to_each(self, addresses, kind, **body):
         for address in addresses:
-            self.tell(address, kind, **body)
+            self.send(address, kind, **body)
 
-    def hear(self, kind, call, part=None):
+    def subscribe(self, kind, call, part=None):
         self.pool.ears.setdefault(self.address, {})[(kind, part)] = call
 
 
 def disk():
     loop = types.SimpleNamespace(random=random.Random(1))
-    return desk_module.SimDisk(loop, None)
+    return environment_module.SimDisk(loop, None)
 
 
 def next_ones(pool, lines):
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -66,7 +66,7 @@
         address = self.address(name)
         self.pool.ears[address] = {}
         seat = member_module.Member(
-            all_orders.HandDesk(self.pool, address, f"{name}{self.count}"),
+            all_orders.ManualEnvironment(self.pool, address, f"{name}{self.count}"),
             self.disks[name],
             0,
             f"{name}/{self.marks[name]}",
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -20,8 +20,8 @@
 )
 
 
-class Gate:
-    """A gate whose wait carries out what its mailbox holds, then says whether it was set."""
+class Event:
+    """An event whose wait carries out what its mailbox holds, then says whether it was set."""
 
     def __init__(self, member):
         self.member, self.open, self.waited = member, False, []
@@ -42,19 +42,19 @@
         self.machine = config_machine.ConfigMachine()
         self.who, self.leader, self.heard, self.time = "A/1", "A/1", 0.0, 100.0
         self.members = {w: {"address": f"{w}:1", "http": f"{w[0]}:80"} for w in ("A/1", "B/1", "C/1")}
-        self.desk = types.SimpleNamespace(now=lambda: self.time, post=self.post)
+        self.environment = types.SimpleNamespace(now=lambda: self.time, post=self.post)
         self.is_leader, self.confirmed, self.mailbox_stuck, self.commits = True, True, False, "at once"
-        self.box, self.proposed, self.waiting, self.gates = [], [], [], []
+        self.mailbox, self.proposed, self.waiting, self.events = [], [], [], []
 
     def sure(self):
         return self.is_leader and self.confirmed
 
     def post(self, call):
-        self.box.append(call)
+        self.mailbox.append(call)
 
     def work(self):
-        while self.box and not self.mailbox_stuck:
-            self.box.pop(0)()
+        while self.mailbox and not self.mailbox_stuck:
+            self.mailbox.pop(0)()
 
     def confirm(self, call):
         if self.confirmed:
@@ -71,14 +71,14 @@
         else:
             self.waiting.append(lambda: call(self.machine.apply(0, command)))
 
-    def gate(self):
-        self.gates.append(Gate(self))
-        return self.gates[-1]
+    def new_event(self):
+        self.events.append(Event(self))
+        return self.events[-1]
 
 
 def keeper(member):
     return types.SimpleNamespace(
-        members=[member], duties=[], desk=types.SimpleNamespace(gate=member.gate), in_part=None
+        members=[member], duties=[], environment=types.SimpleNamespace(new_event=member.new_event), in_part=None
     )
 
 
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -56,15 +56,15 @@
 
     def __init__(self, group, who):
         self.group, self.who, self.part = group, who, 1
-        self.desk = all_orders.HandDesk(group.pool, who)
+        self.environment = all_orders.ManualEnvironment(group.pool, who)
         self.machine, self.applied = service_part.ServiceMachine(), 0
         self.duties, self.sure_until = [], 0.0
 
     def renew(self):
-        self.sure_until = self.desk.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
+        self.sure_until = self.environment.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
 
     def sure(self):
-        return self.desk.now() < self.sure_until
+        return self.environment.now() < self.sure_until
 
     def catch_up(self):
         for command in self.group.log[self.applied :]:
--- a/tests/peer_nodes.py
+++ b/tests/peer_nodes.py
@@ -87,10 +87,10 @@
 
 def until(condition):
     """Wait for something that another thread brings about."""
-    end, gate = time.monotonic() + WAIT, threading.Event()
+    end, event = time.monotonic() + WAIT, threading.Event()
     while not condition():
         assert time.monotonic() < end
-        gate.wait(0.005)
+        event.wait(0.005)
 
 
 def packed(mark, release=None):
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -20,13 +20,13 @@
 RATE = 1.0
 
 
-class Environment(all_orders.HandDesk):
-    """A desk whose timers wait among the messages."""
+class Environment(all_orders.ManualEnvironment):
+    """An environment whose timers wait among the messages."""
 
-    def gate(self):
+    def new_event(self):
         return threading.Event()
 
-    def beat(self, delay, call):
+    def call_later(self, delay, call):
         self.pool.waiting.append((self.address, self.address, "timer", {"call": call}))
 
 
@@ -36,7 +36,7 @@
     part = PART
 
     def __init__(self, pool, address):
-        self.desk = Environment(pool, address)
+        self.environment = Environment(pool, address)
         self.who, self.leader, self.heard, self.leads = address, "", 0.0, False
         self.machine, self.duties = types.SimpleNamespace(leader_began=None), []
 
@@ -96,14 +96,14 @@
         environment = Environment(self.pool, ROUTER)
         leaders = leaders_module.Leaders(environment, lambda: KEEPERS)
         self.router = permits.Permits(environment, leaders, journal_module.Journal())
-        send = environment.tell
+        send = environment.send
 
         def note(goal, kind, **body):
             if kind == "permit_ask":
                 self.pool.asked[body["mark"]] = self.pool.steps
             send(goal, kind, **body)
 
-        environment.tell = note
+        environment.send = note
         self.requests = []
 
     def lead(self, address):
@@ -113,7 +113,7 @@
 
     # --- what may happen ---
     def request(self):
-        waiter = permits.Waiter(self.router.environment.gate())
+        waiter = permits.Waiter(self.router.environment.new_event())
         self.router.enter(TENANT, 1, waiter)
         self.requests.append((self.pool.steps, waiter))
 
--- a/tests/permit_fleet.py
+++ b/tests/permit_fleet.py
@@ -41,7 +41,7 @@
 
     def take(self, router):
         loop, part = self.fleet.loop, self.fleet.parts[router]
-        came, now = loop.time, part.desk.now()
+        came, now = loop.time, part.environment.now()
         sequence, document = part.lease.current()
         if sequence is None:
             return
--- a/tests/platform_door.py
+++ b/tests/platform_door.py
@@ -18,11 +18,11 @@
     def __init__(self, folder):
         self.platform = stand_in.Platform()
         self.replica = stand_in.Replica(self.platform, "one", "decode", events=0)
-        desk, made = platform_site.desk(), []
-        place, list_url = desk.address, f"http://{self.platform.address}"
+        environment, made = platform_site.environment(), []
+        place, list_url = environment.address, f"http://{self.platform.address}"
 
-        def new_desk():
-            made.append(platform_site.environment.Desk(desk.beats, desk.peers, place))
+        def new_environment():
+            made.append(platform_site.environment_module.Environment(environment.timers, environment.peers, place))
             return made[-1]
 
         speech = platform_site.replica_speech.Speech()
@@ -37,11 +37,11 @@
             "list_url": list_url,
             "data": str(folder),
         }
-        self.keeper = keeper_module.Keeper(desk, settings, new_desk, disk.Disk(folder), speech=speech)
+        self.keeper = keeper_module.Keeper(environment, settings, new_environment, disk.Disk(folder), speech=speech)
         self.keeper.run()
         self.keeper_server = self.keeper.front(platform_site.operator_front.OperatorFront)
         self.address = platform_site.serve(self.keeper_server)
-        other = platform_site.desk()
+        other = platform_site.environment()
         self.router = router_module.Router(
             other,
             {
@@ -57,16 +57,16 @@
         self.router.run()
         self.router_server = self.router.front()
         self.counter = platform_site.serve(self.router_server)
-        self.desks, self.part_desks = [desk, other], made
+        self.environments, self.part_environments = [environment, other], made
         platform_site.until(lambda: self.get()[0] == 200, 8.0)
 
     def stop(self):
         """Stop everything: a keeper or router that went on would read the list of a platform that is gone."""
-        for environment in (*self.desks, *self.part_desks):
+        for environment in (*self.environments, *self.part_environments):
             environment.stop()
         for server in (self.keeper_server, self.router_server):
             server.stop()
-        for listener in (self.replica, self.platform, *(d.peers for d in self.desks)):
+        for listener in (self.replica, self.platform, *(d.peers for d in self.environments)):
             listener.stop()
 
     def get(self):
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -13,7 +13,7 @@
 
 import mothshed.configuration.document as configuration
 import mothshed.data_plane.router as router_module
-import mothshed.programs.environment as environment
+import mothshed.programs.environment as environment_module
 import mothshed.runtime.timers as timers
 import mothshed.transport.peers as peers
 import tests.platform_stand_in as stand_in
@@ -127,9 +127,9 @@
     span: float
 
 
-def desk():
+def environment():
     host = f"127.0.0.1:{fleet.free_port('127.0.0.1')}"
-    return environment.Desk(timers.Timers(), peers.Peers(host), host)
+    return environment_module.Environment(timers.Timers(), peers.Peers(host), host)
 
 
 def serve(server):
@@ -168,32 +168,32 @@
     def __init__(self):
         self.platform = stand_in.Platform()
         speech = replica_speech.Speech()
-        self.desk, self.lease, self.count, self.made = desk(), Lease(), 0, []
+        self.environment, self.lease, self.count, self.made = environment(), Lease(), 0, []
         settings = {
             "name": "r",
-            "address": self.desk.address,
+            "address": self.environment.address,
             "http": "127.0.0.1:0",
             "cell": "a",
-            "seeds": [self.desk.address],
+            "seeds": [self.environment.address],
             "list_url": f"http://{self.platform.address}",
             "slack": 1000,
         }
-        self.router = router_module.Router(self.desk, settings, speech)
+        self.router = router_module.Router(self.environment, settings, speech)
         self.router.lease = self.lease
         self.router.budget.born -= 100  # old enough to use its part of the slack
         self.router.replicas.silent = self.router.replicas.ask_span = 0.02  # nobody reads the list for it
-        self.router.replicas.fresh_at = self.desk.now()  # and it does not wait for that first
+        self.router.replicas.fresh_at = self.environment.now()  # and it does not wait for that first
         self.router.run()
         self.server = self.router.front()
         self.address = serve(self.server)
 
     def stop(self):
         """Stop everything: a router that went on would read the list of a platform that is gone."""
-        self.desk.stop()
+        self.environment.stop()
         self.server.stop()
         for listener in (*self.platform.replicas.values(), self.platform):
             listener.stop()
-        self.desk.peers.stop()
+        self.environment.peers.stop()
 
     def service(self, legs, engine=True, facts=None, **more):
         """A new service and its route; legs: "pdd" for one reader and two writers. (host, replicas)."""
--- a/tests/test_bad_replica_answers.py
+++ b/tests/test_bad_replica_answers.py
@@ -77,9 +77,9 @@
     request = types.SimpleNamespace(id="a1", body={}, path="/v1/completions", caller=caller.Caller())
     place = types.SimpleNamespace(name="r", url="http://r", engine="e")
     web = types.SimpleNamespace(send=lambda *a, **k: types.SimpleNamespace(status=200, body=lambda: said))
-    desk = types.SimpleNamespace(now=lambda: 0.0, web=web)
-    assert replica_adapter.prefill(desk, request, "a1", place, 1, 1.0, None).params["remote_block_ids"] == [1]
+    environment = types.SimpleNamespace(now=lambda: 0.0, web=web)
+    assert replica_adapter.prefill(environment, request, "a1", place, 1, 1.0, None).params["remote_block_ids"] == [1]
     spoil(said)
     with pytest.raises(verdict.SendFailure) as failure:
-        replica_adapter.prefill(desk, request, "a1", place, 1, 1.0, None)
+        replica_adapter.prefill(environment, request, "a1", place, 1, 1.0, None)
     assert failure.value.verdict is verdict.Verdict.MAY_HAVE_RUN
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -6,7 +6,7 @@
 import tools.simulate as simulate
 
 
-class Gate:
+class Event:
     """Never waited at: the test delivers answers by hand."""
 
     def set(self):
@@ -18,15 +18,15 @@
         return False
 
 
-class Desk(all_orders.HandDesk):
-    gate = staticmethod(Gate)
+class Environment(all_orders.ManualEnvironment):
+    new_event = staticmethod(Event)
 
 
 def test_in_any_order_of_loans_the_fleet_spends_no_more_than_it_earned():
     def make():
         pool = all_orders.Pool()
         names = ["a", "b", "c"]
-        routers = {n: budget.Budget(Desk(pool, n), lambda n=n: [m for m in names if m != n]) for n in names}
+        routers = {n: budget.Budget(Environment(pool, n), lambda n=n: [m for m in names if m != n]) for n in names}
         for n in names:
             for _ in range(4):
                 routers[n].sent()  # 0.72 each: none alone can pay for one
@@ -48,7 +48,7 @@
 
 def test_a_loan_unused_is_lost_and_a_late_or_foreign_answer_gives_nothing():
     pool = all_orders.Pool()
-    one = budget.Budget(Desk(pool, "a"), lambda: ["b"])
+    one = budget.Budget(Environment(pool, "a"), lambda: ["b"])
     assert not one.extra()
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
     pool.time += constants.LOAN_LIFE + 0.01
@@ -64,7 +64,7 @@
     """Each life may end right after it has spent all it has; no window sees the slack twice."""
     pool, spent = all_orders.Pool(), []
     for life in range(5):
-        one = budget.Budget(Desk(pool, f"a{life}"), lambda: [], slack=50.0, sharers=lambda: 5)
+        one = budget.Budget(Environment(pool, f"a{life}"), lambda: [], slack=50.0, sharers=lambda: 5)
         before = len(spent)
         while one.room() >= 1 or len(spent) == before:
             if one.take(1):
--- a/tests/test_commit_moments.py
+++ b/tests/test_commit_moments.py
@@ -192,7 +192,7 @@
 def inherited(moment_ago, bounds=None):
     """A duty that starts with sequence 2 staged over 1; when it was not acknowledged yet, in seconds ago."""
     pool = all_orders.Pool()
-    seat = Inheritor(all_orders.HandDesk(pool, "a:1"))
+    seat = Inheritor(all_orders.ManualEnvironment(pool, "a:1"))
     duty = config_part.ConfigDuty(seat, bounds)
     duty.machine.apply(7, test_lease_state.stage(0, 1, "order 0"))
     duty.machine.apply(8, {"op": "activate", "sequence": 1})
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -87,9 +87,9 @@
         call(True)
 
     member.confirm = confirm
-    member.gates.clear()
+    member.events.clear()
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 504
-    waited = [span for gate in member.gates for span in gate.waited]
+    waited = [span for event in member.events for span in event.waited]
     assert waited == [constants.OPERATOR_WAIT, pytest.approx(constants.OPERATOR_WAIT - 0.3)]
 
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -8,7 +8,7 @@
 import pytest
 
 import mothshed.http.front as front
-import mothshed.programs.environment as environment
+import mothshed.programs.environment as environment_module
 import mothshed.runtime.clock as clock
 import tests.fleets as fleets
 import tools.callers as callers
@@ -46,7 +46,10 @@
             stack.enter_context(line)
         rows = [
             callers.send(
-                environment.Tasks(), router, "shift-notes", callers.make("crowd", n, ["dispatch"]) | {"id": f"c{n}"}
+                environment_module.Tasks(),
+                router,
+                "shift-notes",
+                callers.make("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
             )
             for n in range(3)
         ]
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -93,8 +93,8 @@
 class Seat:
     """The duty's leader, always sure: commits at once."""
 
-    def __init__(self, desk):
-        self.desk, self.machine, self.duties = desk, config_machine.ConfigMachine(), []
+    def __init__(self, environment):
+        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
     def confirm(self, call):
@@ -104,7 +104,7 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.environment.now() + lease_s + constants.LEASE_SLACK
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
@@ -112,7 +112,7 @@
 
 def duty_of(pool, *sequences):
     """A duty whose machine has these, the first of them active; it has waited out its start."""
-    duty = config_part.ConfigDuty(Seat(all_orders.HandDesk(pool, "a:1")))
+    duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
     base = 0
     for sequence in sequences[:1]:
         duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
@@ -131,7 +131,13 @@
     """In a group of one an entry is committed as it is proposed, so staging leads to activating before it ends."""
     pool = all_orders.Pool()
     seat = member_module.Member(
-        all_orders.HandDesk(pool, "a:1"), all_orders.disk(), 0, "A/1", "", ["a:1"], config_machine.ConfigMachine()
+        all_orders.ManualEnvironment(pool, "a:1"),
+        all_orders.disk(),
+        0,
+        "A/1",
+        "",
+        ["a:1"],
+        config_machine.ConfigMachine(),
     )
     duty = config_part.ConfigDuty(seat)
     seat.begin()
@@ -176,7 +182,7 @@
 def test_uneven_sequences_reach_a_holder_one_after_another():
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
-    lease = lease_module.Lease(all_orders.HandDesk(pool, "r:1"), lambda: ["a:1"])
+    lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
     lease.ask()
     deliver(pool)
     assert lease.sequence() == 5 and lease.document() == {"n": 5}
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -35,8 +35,8 @@
 def placed(roles, cells=None):
     """Placing over replicas p1, p2 .. and d1, d2 ..; with the pool that moves its time."""
     pool = all_orders.Pool()
-    desk = all_orders.HandDesk(pool, "r:1")
-    found = listed.Listed(desk, "", journal.Journal(), None, lambda: [])
+    environment = all_orders.ManualEnvironment(pool, "r:1")
+    found = listed.Listed(environment, "", journal.Journal(), None, lambda: [])
     found.take_list(
         {
             n: {
@@ -51,7 +51,7 @@
             for n in roles
         }
     )
-    return placing.Placing(desk, found, "a"), pool
+    return placing.Placing(environment, found, "a"), pool
 
 
 def names(pair):
@@ -182,7 +182,7 @@
 
 def test_sums_leave_out_the_asker_the_old_and_what_an_order_no_longer_keeps_away():
     pool = all_orders.Pool()
-    member = types.SimpleNamespace(desk=all_orders.HandDesk(pool, "k:1"), part=1, is_leader=True)
+    member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
     duty = usage_duty.UsageDuty(member)
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire({"d1": usage(2, 0.5, [1, 0, 10])})})
     duty.on_usage(
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -154,7 +154,13 @@
 def test_a_member_that_cannot_write_stops_and_says_so_once():
     told, pool = [], all_orders.Pool()
     seat = member.Member(
-        all_orders.HandDesk(pool, "a:1"), all_orders.disk(), 0, "A/1", "", ["a:1"], types.SimpleNamespace(apply=None)
+        all_orders.ManualEnvironment(pool, "a:1"),
+        all_orders.disk(),
+        0,
+        "A/1",
+        "",
+        ["a:1"],
+        types.SimpleNamespace(apply=None),
     )
     seat.failed = lambda: told.append(seat.chart.state)
 
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -17,7 +17,7 @@
         self.refusals, self.log = refusals, []
         self.waiting = False
         self.members = [types.SimpleNamespace(disk_lost=part == 1) for part in range(3)]
-        self.desk = types.SimpleNamespace(pause=lambda span: self.log.append("pause"), spawn=self.log.append)
+        self.environment = types.SimpleNamespace(sleep=lambda span: self.log.append("pause"), spawn=self.log.append)
         self.disk = types.SimpleNamespace(put=self.put)
 
     def put(self, name, data):
--- a/tests/test_exchange_moments.py
+++ b/tests/test_exchange_moments.py
@@ -154,8 +154,8 @@
     host, replicas = site.service("dd", engine=False, kind="once_only", tries=2, facts={"events": 0})
     for _ in range(6):
         site.ask(host, prompt=False)
-    before, reused = platform_site.asked(replicas), site.desk.kept.reused
-    take = site.desk.kept.take
+    before, reused = platform_site.asked(replicas), site.environment.kept.reused
+    take = site.environment.kept.take
 
     def taken(*words):
         conn = take(*words)
@@ -168,9 +168,9 @@
                     other.shutdown(socket.SHUT_RDWR)
         return conn
 
-    monkeypatch.setattr(site.desk.kept, "take", taken)
+    monkeypatch.setattr(site.environment.kept, "take", taken)
     own, answer = site.ask(host, prompt=False)
-    assert site.desk.kept.reused == reused + 1
+    assert site.environment.kept.reused == reused + 1
     assert is_unproven_failure(answer) and site.platform.ran(own) == [] and platform_site.asked(replicas) == before
 
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -148,13 +148,13 @@
 def test_a_send_whose_connection_comes_after_the_callers_time_is_not_written(site, monkeypatch):
     """As after a freeze of this process between the planning and the write."""
     host, (replica,) = site.service("d", engine=False, kind="once_only", deadline_ms=300, facts=PLAIN)
-    connect, now = site.desk.kept.connect, site.desk.now
+    connect, now = site.environment.kept.connect, site.environment.now
 
     def late(address):
         conn = connect(address)
-        monkeypatch.setattr(site.desk, "now", lambda: now() + 1.0)
+        monkeypatch.setattr(site.environment, "now", lambda: now() + 1.0)
         return conn
 
-    monkeypatch.setattr(site.desk.kept, "connect", late)
+    monkeypatch.setattr(site.environment.kept, "connect", late)
     own, answer = site.ask(host, prompt=False)
     assert answer.status == 503 and b"not_run" in answer.body and replica.asked == []
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -12,12 +12,12 @@
 import tests.all_orders as all_orders
 
 
-class TimedDesk(all_orders.HandDesk):
-    """A desk by hand that notes how long the next beat is to take."""
+class TimedEnvironment(all_orders.ManualEnvironment):
+    """An environment by hand that notes after what delay the next call is due."""
 
-    def beat(self, delay, call):
+    def call_later(self, delay, call):
         self.delay = delay
-        return super().beat(delay, call)
+        return super().call_later(delay, call)
 
 
 ROW = {"url": "http://d1", "cell": "a", "service": "s", "labels": {"service": "s"}, "leaving": False}
@@ -30,17 +30,17 @@
 @pytest.fixture
 def process():
     pool = all_orders.Pool()
-    desk = TimedDesk(pool, "r:1")
-    found = listed.Listed(desk, "", journal.Journal(), None, lambda: ["dead:1", "b:1", "c:1"])
-    return types.SimpleNamespace(pool=pool, desk=desk, listed=found)
+    environment = TimedEnvironment(pool, "r:1")
+    found = listed.Listed(environment, "", journal.Journal(), None, lambda: ["dead:1", "b:1", "c:1"])
+    return types.SimpleNamespace(pool=pool, environment=environment, listed=found)
 
 
 def test_it_is_asked_for_soon_until_it_is_here(process):
     process.listed.tick()
-    assert process.desk.delay <= 1.1 * constants.LIST_ASK_FIRST
+    assert process.environment.delay <= 1.1 * constants.LIST_ASK_FIRST
     process.listed.on_news("b:1", news(d1={**ROW, "role": "decode", "slots": 8}))
     process.listed.tick()
-    assert process.desk.delay >= 0.9 * constants.LIST_ASK
+    assert process.environment.delay >= 0.9 * constants.LIST_ASK
 
 
 def test_a_process_whose_first_keeper_is_dead_has_it_within_half_a_second(process):
@@ -54,8 +54,8 @@
             if kind == "list_ask" and goal == "c:1":
                 process.listed.on_news("c:1", news(**replicas))
         process.pool.waiting.clear()
-        waited += process.desk.delay
-        process.pool.time += process.desk.delay
+        waited += process.environment.delay
+        process.pool.time += process.environment.delay
     assert waited <= 0.5
 
 
@@ -65,7 +65,7 @@
     def __init__(self, pool, silent, fault):
         self.pool, self.silent, self.fault = pool, silent, fault
 
-    def rows(self, desk, url):
+    def rows(self, environment, url):
         if self.silent:
             self.silent -= 1
             self.pool.time += constants.LIST_TIME
@@ -78,7 +78,7 @@
 def test_a_process_that_nobody_tells_the_list_reads_it_until_it_answers(process, silent, fault):
     """The first reading is due within two spans of silence, each further one within an interval of asking."""
     reads = []
-    process.desk.spawn = reads.append
+    process.environment.spawn = reads.append
     process.listed.speech = LateList(process.pool, silent, fault)
     interval = 1.1 * constants.LIST_ASK_FIRST
     bound = 2 * constants.LIST_SILENT + silent * (constants.LIST_TIME + constants.LIST_ASK + interval) + 2 * interval
@@ -86,7 +86,7 @@
     while not process.listed.rows:
         assert process.pool.time <= end
         process.listed.tick()
-        process.pool.time += process.desk.delay
+        process.pool.time += process.environment.delay
         while reads:
             with contextlib.suppress(RuntimeError):  # a task that fails is noted, nothing more
                 reads.pop()()
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -72,7 +72,7 @@
             repr([(r.method, r.target, r.headers, r.body) for replica in replicas for r in replica.asked]),
             repr([(answer.status, answer.headers.items(), answer.body)]),
             repr(list(router.journal.events)),
-            router.totals.text(router.desk.figures()),
+            router.totals.text(router.environment.figures()),
             json.dumps(router.condition(), default=repr),
             repr(site.read_requests),
             repr(vars(router.permits)),
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -10,7 +10,7 @@
 def start(pool, life):
     """A router's lease; what an earlier life at this address would have received, this one does."""
     pool.ears[ADDRESS] = {}
-    return lease_module.Lease(all_orders.HandDesk(pool, ADDRESS, life), lambda: [KEEPER])
+    return lease_module.Lease(all_orders.ManualEnvironment(pool, ADDRESS, life), lambda: [KEEPER])
 
 
 def grant(ask, length=constants.LEASE_LONG):
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -23,8 +23,8 @@
 class Seat:
     """A member that is always the confirmed leader and commits at once."""
 
-    def __init__(self, desk):
-        self.desk, self.machine, self.duties = desk, config_machine.ConfigMachine(), []
+    def __init__(self, environment):
+        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
         self.leader, self.heard = self.who, 0.0
         self.held_back = []  # confirmations, while they are held back
@@ -40,7 +40,7 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.environment.now() + lease_s + constants.LEASE_SLACK
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
@@ -49,12 +49,12 @@
 def deployment(routers=2):
     """A pool, the duty on its leader, and leases that hold sequence 1."""
     pool = all_orders.Pool()
-    duty = config_part.ConfigDuty(Seat(all_orders.HandDesk(pool, "a:1")))
+    duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
     duty.machine.apply(0, stage(0, 1, "order 0", {"n": 1, "as_sent": {"big": "text"}}))
     duty.machine.active = 1
     duty.start()
     duty.activates_from -= 10
-    leases = [lease_module.Lease(all_orders.HandDesk(pool, f"r:{n}"), lambda: ["a:1"]) for n in range(routers)]
+    leases = [lease_module.Lease(all_orders.ManualEnvironment(pool, f"r:{n}"), lambda: ["a:1"]) for n in range(routers)]
     for lease in leases:
         lease.ask()
     while pool.waiting:
@@ -169,14 +169,14 @@
                 assert lease.until <= at + constants.LEASE_SHORT + 1e-9
 
 
-class TimedDesk(all_orders.HandDesk):
-    """A desk that keeps how soon each beat is due, and whether it was cancelled."""
+class TimedEnvironment(all_orders.ManualEnvironment):
+    """An environment that keeps how soon each call is due, and whether it was cancelled."""
 
     def __init__(self, pool, address):
         super().__init__(pool, address)
         self.due = []
 
-    def beat(self, delay, call):
+    def call_later(self, delay, call):
         entry = types.SimpleNamespace(at=self.now() + delay, call=call)
         self.due.append(entry)
         return types.SimpleNamespace(cancel=lambda: entry in self.due and self.due.remove(entry))
@@ -184,12 +184,12 @@
 
 def timed_lease():
     pool = all_orders.Pool()
-    lease = lease_module.Lease(TimedDesk(pool, "r:1"), lambda: ["a:1"])
-    lease.desk.beats.pop()()  # its first tick
+    lease = lease_module.Lease(TimedEnvironment(pool, "r:1"), lambda: ["a:1"])
+    lease.environment.timers.pop()()  # its first tick
     lease.on_grant("a:1", grant(lease, constants.LEASE_LONG, 1, [[1, {"n": 1}]]))
     for _turn in range(2):  # the activation's ask, and then the usual beat
         pool.time += constants.ASK_BEAT_SHORT
-        lease.desk.due.pop().call()
+        lease.environment.due.pop().call()
     pool.time += constants.ASK_BEAT_SHORT
     return pool, lease
 
@@ -203,7 +203,7 @@
     for news in ({"number": 2, "docs": [[2, {"n": 2}]], "active": 1}, {"number": 3, "docs": [], "active": 2}):
         asked = lease.mark
         lease.on_news("a:1", news)
-        assert lease.mark == asked + 1 and len(lease.desk.due) == 1
+        assert lease.mark == asked + 1 and len(lease.environment.due) == 1
         pool.time += constants.ASK_BEAT_SHORT
     assert lease.active == 2
 
@@ -212,7 +212,7 @@
     pool, lease = timed_lease()
     lease.ask()
     lease.on_grant("a:1", grant(lease, constants.LEASE_SHORT, 1))
-    assert [entry.at - pool.time <= constants.ASK_BEAT_SHORT for entry in lease.desk.due] == [True]
+    assert [entry.at - pool.time <= constants.ASK_BEAT_SHORT for entry in lease.environment.due] == [True]
 
 
 def test_however_much_news_comes_at_once_one_ask_goes_out():
@@ -220,4 +220,4 @@
     asked = lease.mark
     for number in range(2, 40):
         lease.on_news("a:1", {"number": number, "docs": [[number, {}]], "active": number - 1})
-    assert lease.mark == asked + 1 and len(lease.desk.due) == 1
+    assert lease.mark == asked + 1 and len(lease.environment.due) == 1
--- a/tests/test_lease_storm.py
+++ b/tests/test_lease_storm.py
@@ -18,7 +18,7 @@
     def change(n):
         f.apply(f"storm-{n}")
         if n < count:
-            f.ops.pause(gap)
+            f.ops.sleep(gap)
             change(n + 1)
 
     watch()
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -15,16 +15,16 @@
 
 
 def reader(pool, address):
-    found = replicas.Replicas(all_orders.HandDesk(pool, address), "", None)
-    talk = gossip.Gossip(found.desk, address, "route", "z", [], found)
+    found = replicas.Replicas(all_orders.ManualEnvironment(pool, address), "", None)
+    talk = gossip.Gossip(found.environment, address, "route", "z", [], found)
     return found, talk
 
 
 def read(found, leaving=()):
     found.take_list({n: {"url": "", "cell": "z", "service": "s", "labels": {}, "leaving": n in leaving} for n in NAMES})
-    found.tried_at = found.desk.now()
+    found.tried_at = found.environment.now()
     for n in NAMES:
-        found.take_condition(n, found.desk.now(), 0, SAID)
+        found.take_condition(n, found.environment.now(), 0, SAID)
 
 
 def test_a_leaving_hint_passes_a_full_record_and_outlasts_older_readings():
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -29,7 +29,7 @@
     member.confirmed = False
     status, headers = CALLS[name](member)
     assert status == 503 and float(headers["retry-after"]) > 0
-    assert member.gates == [] and member.proposed == [] and member.box == []
+    assert member.events == [] and member.proposed == [] and member.mailbox == []
 
 
 @pytest.mark.parametrize("name", CALLS)
@@ -37,7 +37,7 @@
     member = operators.Member()
     member.mailbox_stuck = True
     CALLS[name](member)
-    assert [span for gate in member.gates for span in gate.waited] == [constants.OPERATOR_WAIT]
+    assert [span for event in member.events for span in event.waited] == [constants.OPERATOR_WAIT]
     assert constants.OPERATOR_WAIT < 1.0
 
 
@@ -83,7 +83,7 @@
 
 def test_majority_lost_between_the_check_and_the_mailbox_writes_nothing():
     member = operators.Member()
-    member.desk.post = lambda call: (setattr(member, "confirmed", False), member.post(call))
+    member.environment.post = lambda call: (setattr(member, "confirmed", False), member.post(call))
     assert operators.put(member, 0, 5)[0] == 503 and member.proposed == []
 
 
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -18,7 +18,7 @@
     group.seats["A"].renew()
     duty = group.duties["A"]
 
-    def order_role(desk, place, role, standing, holder, sequence, ready):
+    def order_role(environment, place, role, standing, holder, sequence, ready):
         change(group)
         if not ready():
             raise web.WebFault(web.NOT_READY, False)
@@ -100,8 +100,8 @@
     assert order_through(change) == ([("A", 1)] if written else [])
 
 
-class NoticeDesk:
-    """A desk on which tasks run at once, and every pause moves the clock and changes the configuration."""
+class NoticeEnvironment:
+    """An environment on which tasks run at once, and every pause moves the clock and changes the configuration."""
 
     def __init__(self, group, changes):
         self.group, self.changes = group, changes
@@ -112,7 +112,7 @@
     def spawn(self, call):
         call()
 
-    def pause(self, span):
+    def sleep(self, span):
         order_group.wait_a_while(self.group, span)
         self.changes()
 
@@ -124,10 +124,10 @@
     group.pool.time += 3.3
     group.seats["A"].renew()
     duty = group.duties["A"]
-    duty.desk = NoticeDesk(group, duty.lease.change)
+    duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
     duty.shared_usage = types.SimpleNamespace(shifting={})
-    duty.order_role = lambda desk, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
+    duty.order_role = lambda environment, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
     duty.order("r-1", "decode")
     assert written == ["decode"]
 
@@ -138,9 +138,9 @@
         host, (replica,) = site.service("p")
         order, place = site.router.speech.order_role, site.router.replicas.place(replica.name)
         with pytest.raises(web.WebFault):
-            order(site.desk, place, "decode", 41, "k1", 3, lambda: False)
+            order(site.environment, place, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
-        assert order(site.desk, place, "decode", 41, "k1", 3, lambda: True)
+        assert order(site.environment, place, "decode", 41, "k1", 3, lambda: True)
         assert [row["fence_no"] for row in replica.orders] == [41]
     finally:
         site.stop()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -30,7 +30,7 @@
             log.put_term(max(r["t"] for r in rows), "")
             log.put(rows)
         seat = member_module.Member(
-            all_orders.HandDesk(pool, WHO[name]),
+            all_orders.ManualEnvironment(pool, WHO[name]),
             disk,
             0,
             f"{name}/{mark}",
@@ -138,8 +138,8 @@
 class Seat:
     """The duty's leader, always sure: commits at once unless told to hold."""
 
-    def __init__(self, desk):
-        self.desk, self.machine, self.duties = desk, config_machine.ConfigMachine(), []
+    def __init__(self, environment):
+        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
     def confirm(self, call):
@@ -149,7 +149,7 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.environment.now() + lease_s + constants.LEASE_SLACK
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
@@ -161,8 +161,8 @@
     seen = set()
     for order in sorted(set(all_orders.orders(acts))):
         pool = all_orders.Pool()
-        duty = config_part.ConfigDuty(Seat(all_orders.HandDesk(pool, "a:1")))
-        lease = lease_module.Lease(all_orders.HandDesk(pool, "r:1"), lambda: ["a:1"])
+        duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+        lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
         duty.member.machine.apply(0, stage(0))
         duty.member.machine.active = 1
         duty.start()
@@ -211,9 +211,9 @@
 
 
 def memory_of():
-    desk = types.SimpleNamespace(now=lambda: desk.time, time=0.0, random=random.Random(1))
-    memory = replica_memory.Memory(desk, "r")
-    memory.test_desk = desk
+    environment = types.SimpleNamespace(now=lambda: environment.time, time=0.0, random=random.Random(1))
+    memory = replica_memory.Memory(environment, "r")
+    memory.test_environment = environment
     return memory
 
 
@@ -230,7 +230,7 @@
                 assert memory.free(memory.engine, "q") == held and "q" not in memory.held
                 alive = False
             elif act == "lapse":
-                memory.test_desk.time += replica_memory.HOLD + 1
+                memory.test_environment.time += replica_memory.HOLD + 1
                 memory.lapse()
                 alive = False
             elif act == "again":  # the same request exported anew: the old handle is worth nothing
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -20,14 +20,14 @@
     part = 1
 
     def __init__(self, pool):
-        self.desk = all_orders.HandDesk(pool, "keeper:1")
+        self.environment = all_orders.ManualEnvironment(pool, "keeper:1")
         self.machine = types.SimpleNamespace(leader_began=None)
         self.duties, self.is_sure, self.freeze_s = [], True, 0.0
         self.leader, self.who, self.heard = "", "K/1", 0.0
 
     def sure(self):
         found = self.is_sure
-        self.desk.pool.time += self.freeze_s
+        self.environment.pool.time += self.freeze_s
         return found
 
 
--- a/tests/test_permit_faults.py
+++ b/tests/test_permit_faults.py
@@ -20,9 +20,9 @@
 
     def __init__(self):
         self.pool = all_orders.Pool()
-        self.desk = all_orders.HandDesk(self.pool, "router:1")
-        self.leaders = leaders.Leaders(self.desk, lambda: [KEEPER])
-        self.permits = permits.Permits(self.desk, self.leaders, journal_module.Journal())
+        self.environment = all_orders.ManualEnvironment(self.pool, "router:1")
+        self.leaders = leaders.Leaders(self.environment, lambda: [KEEPER])
+        self.permits = permits.Permits(self.environment, self.leaders, journal_module.Journal())
 
     def asks(self):
         return [body for _goal, _sender, kind, body in self.pool.waiting if kind == "permit_ask"]
@@ -47,7 +47,7 @@
         with pytest.raises(KeyError):
             router.enter()
     assert router.asks() == []
-    router.desk.beats[-1]()
+    router.environment.timers[-1]()
     assert [row["counts"] for row in router.asks()] == [{"a": 1}]
 
 
@@ -67,7 +67,7 @@
 
 def test_keepers_are_listed_while_another_thread_forgets_one():
     node = gossip.Gossip.__new__(gossip.Gossip)
-    node.desk, node.seeds = all_orders.HandDesk(all_orders.Pool(), "router:1"), ["keeper:9"]
+    node.environment, node.seeds = all_orders.ManualEnvironment(all_orders.Pool(), "router:1"), ["keeper:9"]
 
     class Keeps(dict):
         def __iter__(self):
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -80,7 +80,7 @@
     for replica in replicas:
         replica.always = {"bounce": 503}
     monkeypatch.setattr(site.router.budget, "slack", 0.0)
-    site.router.budget.more.append((site.desk.now(), len(site.router.budget.first)))
+    site.router.budget.more.append((site.environment.now(), len(site.router.budget.first)))
     own, answer = site.ask(host, prompt=False)
     site.router.budget.more.clear()
     assert answer.status == 503 and answer.headers["Retry-After"] and platform_site.asked(replicas) == 1
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -40,7 +40,7 @@
 class Timers:
     """Takes one callback at a time, to be called by hand."""
 
-    def beat(self, delay, call):
+    def call_later(self, delay, call):
         self.delay, self.call = delay, call
 
 
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -49,7 +49,7 @@
     def __init__(self):
         self.ordered = []
 
-    def order_role(self, desk, place, role, standing, holder, sequence, ready=lambda: True):
+    def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
         """An order that arrives if its last check allows it."""
         if ready():
             self.ordered.append(role)
@@ -66,12 +66,12 @@
     group.seats["A"].renew()
     duty, seat = group.duties["A"], group.seats["A"]
     speech = Speech()
-    found = listed.Listed(seat.desk, "", journal.Journal(), None, lambda: [])
+    found = listed.Listed(seat.environment, "", journal.Journal(), None, lambda: [])
     found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
     duty.replicas, duty.journal, duty.gives_roles, duty.says_standing = found, journal.Journal(), True, False
     duty.order_role, duty.speech = speech.order_role, speech
     duty.lease.pools = DOCUMENT["pools"]
-    duty.desk.spawn = lambda call: call()
+    duty.environment.spawn = lambda call: call()
     return duty
 
 
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -72,7 +72,7 @@
 
 def test_a_lease_that_is_back_tells_what_became_of_the_asks(written):
     pool = all_orders.Pool()
-    lease = lease_module.Lease(all_orders.HandDesk(pool, "r:1"), lambda: ["a:1"])
+    lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
     lease.ask()
     lease.on_grant("a:1", lease_state.grant(lease, constants.LEASE_LONG, 1, [[1, {"n": 1}]]))
     pool.time += constants.LEASE_LONG + 1.0
--- a/tests/test_writer_capacity.py
+++ b/tests/test_writer_capacity.py
@@ -97,7 +97,7 @@
 
 def duty_with(loads, services):
     pool = all_orders.Pool()
-    member = types.SimpleNamespace(desk=all_orders.HandDesk(pool, "k:1"), part=1, is_leader=True)
+    member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
     duty = usage_duty.UsageDuty(member, lambda name: services[name])
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire(loads)})
     return pool, duty
--- a/tools/callers.py
+++ b/tools/callers.py
@@ -48,7 +48,7 @@
     }
 
 
-def send(desk, router, model, call):
+def send(environment, router, model, call):
     """One send to one router; returns the row of what came back."""
     headers = {
         "x-request-id": call["id"],
@@ -65,7 +65,7 @@
         "router": router,
         "digest": replica_memory.digest_of(call["prompt"]),
         "tokens": call["tokens"],
-        "sent": desk.now(),
+        "sent": environment.now(),
         "first": None,
         "status": 0,
         "text": "",
@@ -74,26 +74,26 @@
         "retry": None,
     }
     try:
-        response = desk.web.send("POST", f"http://{router}/v1/completions", body, headers, read=12)
+        response = environment.web.send("POST", f"http://{router}/v1/completions", body, headers, read=12)
     except web.WebFault as e:
-        row.update(end="lost" if e.sent else "refused", done=desk.now(), error=str(e))
+        row.update(end="lost" if e.sent else "refused", done=environment.now(), error=str(e))
         return row
     row["status"] = response.status
     try:
-        read(desk, response, row, call["stream"])
+        read(environment, response, row, call["stream"])
     except (web.WebFault, ValueError, KeyError) as e:
         row.update(end="broken", error=f"{type(e).__name__}: {e}")
     finally:
         response.close()
-    row["done"] = desk.now()
+    row["done"] = environment.now()
     return row
 
 
-def read(desk, response, row, stream):
+def read(environment, response, row, stream):
     if response.status != 200 or not stream:
         said = response.body()
         if response.status == 200:
-            row.update(text=said["choices"][0]["text"], end="whole", first=desk.now(), answer=said["id"])
+            row.update(text=said["choices"][0]["text"], end="whole", first=environment.now(), answer=said["id"])
         else:
             row.update(
                 end="answered",
@@ -106,7 +106,7 @@
     for line in response.lines():
         if not line.strip():
             continue
-        row["first"] = row["first"] or desk.now()
+        row["first"] = row["first"] or environment.now()
         if line == b"data: [DONE]":
             done = True
             continue
@@ -129,20 +129,20 @@
 class Load:
     """A bounded open load: calls start at their moments whatever becomes of earlier ones."""
 
-    def __init__(self, desk, seed, routers, model, calls, tries=3):
-        self.desk = desk
+    def __init__(self, environment, seed, routers, model, calls, tries=3):
+        self.environment = environment
         self.seed, self.routers, self.model, self.calls, self.tries = seed, routers, model, calls, tries
         self.rows, self.begun, self.ended = [], 0, []
 
     def run(self):
-        start = self.desk.now()
+        start = self.environment.now()
         for number, (at, call) in enumerate(self.calls):
-            self.desk.pause(max(0, start + at - self.desk.now()))
+            self.environment.sleep(max(0, start + at - self.environment.now()))
             self.begun += 1
-            self.desk.spawn(lambda number=number, call=call: self.call(number, call))
-        most = self.desk.now() + 30
-        while len(self.ended) < self.begun and self.desk.now() < most:
-            self.desk.pause(0.05)
+            self.environment.spawn(lambda number=number, call=call: self.call(number, call))
+        most = self.environment.now() + 30
+        while len(self.ended) < self.begun and self.environment.now() < most:
+            self.environment.sleep(0.05)
         return self.rows
 
     def call(self, number, call):
@@ -154,11 +154,11 @@
     def turns(self, call, chance):
         zone = chance.choice(list(self.routers))
         for turn in range(self.tries):
-            row = send(self.desk, chance.choice(self.routers[zone]), self.model, call)
+            row = send(self.environment, chance.choice(self.routers[zone]), self.model, call)
             row["turn"] = turn
             self.rows.append(row)
             if row["end"] == "refused":
                 continue
             if row["status"] != 503 or turn == self.tries - 1:
                 return
-            self.desk.pause(float(row["retry"] or 1))
+            self.environment.sleep(float(row["retry"] or 1))
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -36,11 +36,11 @@
 
 
 class ByteCount:
-    """Counts the bytes of records between keepers; it takes the place of the network's tell."""
+    """Counts the bytes of records between keepers; it takes the place of the network's `send`."""
 
     def __init__(self, f):
-        self.f, self.total, self.inner = f, 0, f.net.tell
-        f.net.tell = self
+        self.f, self.total, self.inner = f, 0, f.net.send
+        f.net.send = self
 
     def __call__(self, machine, sender, goal, kind, body):
         if machine.name.startswith("keep") and goal in self.f.seeds:
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -123,7 +123,7 @@
         self.last[(one.name, other.name)] = due
         return due - self.loop.time
 
-    def tell(self, machine, sender, goal, kind, body):
+    def send(self, machine, sender, goal, kind, body):
         try:
             data = records.pack(kind, **body)
         except records.RecordFault:
@@ -147,7 +147,7 @@
 
     def poll(self, method, url, body=None, headers=None, read=0.0):
         path = url.split("/", 3)[3]
-        self.fleet.loop.pause(self.machine, design.NEAR)
+        self.fleet.loop.sleep(self.machine, design.NEAR)
         page = self.fleet.pages[int(path.rsplit("p-", 1)[1]) if "p-" in path else 0]
         self.fleet.books.sent[(role_of(self.machine.name), "list page")] += 1
         self.fleet.books.got[(role_of(self.machine.name), "list page")] += len(page)
--- a/tools/hollow/fleet.py
+++ b/tools/hollow/fleet.py
@@ -14,7 +14,7 @@
 import tools.hollow.books as books_module
 import tools.hollow.design as design
 import tools.hollow.speech as speech
-import tools.simulator.desk as desk_module
+import tools.simulator.environment as environment_module
 import tools.simulator.loop as loop_module
 
 DRAW_BEAT = 0.2  # s; what is running is drawn anew
@@ -39,11 +39,11 @@
         for at in range(size.routers):
             self.add_router(f"route-{at + 1}", at)
 
-    def desk(self, machine, address, label=""):
+    def environment(self, machine, address, label=""):
         self.net.machines[address] = machine
-        desk = desk_module.SimDesk(self.loop, self.net, machine, address, label)
-        desk.web = books_module.HollowWeb(self, machine)
-        return desk
+        environment = environment_module.SimEnvironment(self.loop, self.net, machine, address, label)
+        environment.web = books_module.HollowWeb(self, machine)
+        return environment
 
     def settings(self, name, at, address):
         self.addresses[name], self.net.places[name] = address, design.cell(at)
@@ -61,11 +61,11 @@
     def add_keeper(self, name, at, address):
         machine = loop_module.Machine(self.loop, name)
         settings, label = self.settings(name, at, address), iter(range(10**6))
-        self.disks[name] = desk_module.SimDisk(self.loop, machine)
+        self.disks[name] = environment_module.SimDisk(self.loop, machine)
         keeper = keeper_module.Keeper(
-            self.desk(machine, address, next(label)),
+            self.environment(machine, address, next(label)),
             settings,
-            lambda: self.desk(machine, address, next(label)),
+            lambda: self.environment(machine, address, next(label)),
             self.disks[name],
             lambda n: f"{self.loop.random.getrandbits(8 * n):x}",
             speech.Speech(),
@@ -76,7 +76,9 @@
     def add_router(self, name, at):
         machine = loop_module.Machine(self.loop, name)
         address = f"10.2.{at // 200}.{at % 200 + 1}:70"
-        router = router_module.Router(self.desk(machine, address), self.settings(name, at, address), speech.Speech())
+        router = router_module.Router(
+            self.environment(machine, address), self.settings(name, at, address), speech.Speech()
+        )
         router.run()
         self.parts[name] = router
 
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -15,7 +15,7 @@
 import mothshed.transport.records as records
 import tools.hollow.design as design
 import tools.hollow.fleet as fleet_module
-import tools.simulator.desk as desk_module
+import tools.simulator.environment as environment_module
 
 
 def spent(call, least=0.3):
@@ -39,8 +39,8 @@
     return found, after - before
 
 
-class LoneDesk:
-    """A desk without network: the clock stands still, what is told is packed and counted."""
+class OfflineEnvironment:
+    """An environment without network: the clock stands still, what is told is packed and counted."""
 
     address = "10.1.0.1:70"
 
@@ -50,10 +50,10 @@
     def now(self):
         return 1000.0
 
-    def hear(self, kind, call, part=None):
+    def subscribe(self, kind, call, part=None):
         pass
 
-    def tell(self, goal, kind, **body):
+    def send(self, goal, kind, **body):
         self.records += 1
         self.bytes += len(records.pack(kind, **body))
 
@@ -62,7 +62,7 @@
     is_leader, part = True, 1
 
     def __init__(self):
-        self.desk = LoneDesk()
+        self.environment = OfflineEnvironment()
 
 
 def usage_reports(routers, size=None):
@@ -92,7 +92,7 @@
     return {
         "processor a report": cost,
         "report bytes": up,
-        "sums bytes": member.desk.bytes / member.desk.records,
+        "sums bytes": member.environment.bytes / member.environment.records,
         "rows a report": sum(len(b["rows"]) for b in bodies.values()) / routers,
     }
 
@@ -133,7 +133,7 @@
         def freeze(self, span):
             pass
 
-    disk = desk_module.SimDisk(None, Machine())
+    disk = environment_module.SimDisk(None, Machine())
     log = disk_log.PartLog(disk, 0)
     text = json.dumps(design.document(design.Size()))
 
@@ -175,11 +175,11 @@
     def __getattr__(self, name):
         return getattr(self.inner, name)
 
-    def prefill(self, desk, ask, place, left, read, ready, urgency):
+    def prefill(self, environment, ask, place, left, read, ready, urgency):
         ready()
         return None  # the writer reads for itself: no free is left behind
 
-    def decode(self, desk, ask, place, handle, left, read, ready, after, urgency, wary):
+    def decode(self, environment, ask, place, handle, left, read, ready, after, urgency, wary):
         ready()
         return HollowReply(self.events)
 
--- a/tools/hollow/real.py
+++ b/tools/hollow/real.py
@@ -7,7 +7,7 @@
 import time
 
 import mothshed.http.front as front
-import mothshed.programs.environment as environment
+import mothshed.programs.environment as environment_module
 import mothshed.runtime.timers as timers
 import mothshed.transport.link as link
 import mothshed.transport.peers as peers
@@ -38,10 +38,10 @@
     loaded = condition_of()
     address, http = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
     own = peers.Peers(address)
-    desk = environment.Desk(timers.Timers(), own, address)
+    environment = environment_module.Environment(timers.Timers(), own, address)
     speech = speech_module.Speech()
     router = router_module.Router(
-        desk, {"name": "r", "cell": "a", "seeds": [], "list_url": "http://127.0.0.1:1", "http": http}, speech
+        environment, {"name": "r", "cell": "a", "seeds": [], "list_url": "http://127.0.0.1:1", "http": http}, speech
     )
     built = condition_of()
     server = router.front()
@@ -99,16 +99,16 @@
 def records_between(body_bytes, most=1.5):
     """Processor time of one record from one real process part to another and back, both ends in it."""
     ends = [f"127.0.0.1:{free_port()}" for _ in range(2)]
-    beats, gate = timers.Timers(), threading.Event()
-    desks = [environment.Desk(beats, peers.Peers(at), at) for at in ends]
+    shared_timers, event = timers.Timers(), threading.Event()
+    environments = [environment_module.Environment(shared_timers, peers.Peers(at), at) for at in ends]
     text = "r" * body_bytes
-    desks[1].hear("paid", lambda who, body: desks[1].tell(who, "paid", request=text, replica="i"))
-    desks[0].hear("paid", lambda who, body: gate.set())
+    environments[1].subscribe("paid", lambda who, body: environments[1].send(who, "paid", request=text, replica="i"))
+    environments[0].subscribe("paid", lambda who, body: event.set())
 
     def once():
-        gate.clear()
-        desks[0].tell(ends[1], "paid", request=text, replica="i")
-        if not gate.wait(5):
+        event.clear()
+        environments[0].send(ends[1], "paid", request=text, replica="i")
+        if not event.wait(5):
             raise RuntimeError("a record was lost on the local host")
 
     for _ in range(20):
--- a/tools/hollow/speech.py
+++ b/tools/hollow/speech.py
@@ -11,11 +11,11 @@
     gives_roles, says_standing = True, False
     tenant_field, system_fields = "x-tenant-name", frozenset()
 
-    def rows(self, desk, url):
+    def rows(self, environment, url):
         """The list, all its pages: name -> row."""
         found, page = {}, 0
         while page is not None:
-            status, said = desk.web.poll("GET", f"{url}/list/p-{page}")
+            status, said = environment.web.poll("GET", f"{url}/list/p-{page}")
             if status != 200:
                 raise web.WebFault(f"list status {status}", True)
             found.update(said["rows"])
@@ -31,8 +31,8 @@
             "after": None,
         }
 
-    def free(self, desk, handle):
+    def free(self, environment, handle):
         return True
 
-    def order_role(self, desk, place, role, standing, holder, sequence, ready=lambda: True):
+    def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
         return False
--- a/tools/replica_memory.py
+++ b/tools/replica_memory.py
@@ -45,10 +45,10 @@
 
 
 class Memory:
-    def __init__(self, desk, name, ledger_path=None, ledger=None):
-        self.desk, self.name, self.role = desk, name, "none"
+    def __init__(self, environment, name, ledger_path=None, ledger=None):
+        self.environment, self.name, self.role = environment, name, "none"
         self.engine = f"{name}-{self.token()}"
-        self.ledger = ledger or Ledger(ledger_path, name, desk.now)
+        self.ledger = ledger or Ledger(ledger_path, name, environment.now)
         self.lock = threading.RLock()
         self.held = {}  # request id -> {"blocks", "digest", "born"}
         self.cache = collections.OrderedDict()  # prefix key -> True
@@ -63,7 +63,7 @@
         self.ledger.add("start", engine=self.engine)
 
     def token(self):
-        return f"{self.desk.random.getrandbits(32):08x}"
+        return f"{self.environment.random.getrandbits(32):08x}"
 
     def slots(self):
         return SLOTS.get(self.role, 4)
@@ -71,8 +71,8 @@
     def older(self, sequence):
         """Whether a newer sequence was seen here more than a moment ago."""
         if sequence > self.newest[0]:
-            self.newest = (sequence, self.desk.now())
-        return self.refuses_older and sequence < self.newest[0] and self.desk.now() - self.newest[1] > OLDER
+            self.newest = (sequence, self.environment.now())
+        return self.refuses_older and sequence < self.newest[0] and self.environment.now() - self.newest[1] > OLDER
 
     def take_slot(self):
         with self.lock:
@@ -85,7 +85,7 @@
                     self.waiting -= 1
                     self.running += 1
                     return
-            self.desk.pause(WAIT_BEAT)
+            self.environment.sleep(WAIT_BEAT)
 
     def give_slot(self):
         with self.lock:
@@ -110,10 +110,10 @@
     def export(self, request, prompt):
         with self.lock:
             blocks = [
-                self.desk.random.getrandbits(20)
+                self.environment.random.getrandbits(20)
                 for _ in range(1 + len(prompt) // replica_adapter.constants.CACHE_BLOCK)
             ]
-            self.held[request] = {"blocks": blocks, "digest": digest_of(prompt), "born": self.desk.now()}
+            self.held[request] = {"blocks": blocks, "digest": digest_of(prompt), "born": self.environment.now()}
         self.note("export", request)
         return blocks
 
@@ -121,7 +121,7 @@
         self.ledger.add(kind, request=self.callers.get(send, send), send=send, engine=self.engine)
 
     def lapse(self):
-        now = self.desk.now()
+        now = self.environment.now()
         with self.lock:
             gone = [r for r, h in self.held.items() if now - h["born"] > self.hold]
             for request in gone:
--- a/tools/simulator/days_of_releases.py
+++ b/tools/simulator/days_of_releases.py
@@ -57,7 +57,7 @@
         machine, address = fleet.machines[name], fleet.settings[name]["address"]
         for other in fleet.names("keep") + fleet.names("route"):
             if machine.alive and other != name:
-                fleet.net.tell(machine, address, fleet.settings[other]["address"], "pulse", {"part": 0, "mark": 1})
+                fleet.net.send(machine, address, fleet.settings[other]["address"], "pulse", {"part": 0, "mark": 1})
     if fleet.loop.time < until:
         fleet.later(0.5, lambda: pulse(fleet, until))
 
--- a/tools/simulator/desk.py
+++ b/tools/simulator/environment.py
@@ -1,4 +1,4 @@
-"""The simulator's Desk and Disk: the same shape as the real ones."""
+"""The simulator's Environment and Disk: the same shape as the real ones."""
 
 import errno
 import math
@@ -10,20 +10,20 @@
 import tools.simulator.volatile_folder as volatile_folder
 
 
-class SimDesk:
+class SimEnvironment:
     def __init__(self, loop, net, machine, address, label=""):
         self.loop, self.net, self.machine, self.address = loop, net, machine, address
         self.random = random.Random(f"{loop.random.getrandbits(32)}/{machine.name}/{label}")
-        self.web = network.SimWeb(net, machine, self.gate)
+        self.web = network.SimWeb(net, machine, self.new_event)
 
     def now(self):
         return self.machine.now()
 
-    def pause(self, span):
-        self.loop.pause(self.machine, span)
+    def sleep(self, span):
+        self.loop.sleep(self.machine, span)
 
-    def gate(self):
-        return loop_module.Gate(self.loop, self.machine)
+    def new_event(self):
+        return loop_module.Event(self.loop, self.machine)
 
     def spawn(self, call):
         self.loop.spawn(self.machine, call)
@@ -31,14 +31,14 @@
     def post(self, call):
         self.loop.at(0.0, self.machine, call)
 
-    def beat(self, delay, call):
-        beat = SimBeat(call)
-        self.loop.at(delay / self.machine.rate, self.machine, beat)
-        return beat
+    def call_later(self, delay, call):
+        timer = SimTimer(call)
+        self.loop.at(delay / self.machine.rate, self.machine, timer)
+        return timer
 
-    def tell(self, goal, kind, **body):
+    def send(self, goal, kind, **body):
         if goal:
-            self.net.tell(self.machine, self.address, goal, kind, body)
+            self.net.send(self.machine, self.address, goal, kind, body)
 
     def stop(self):
         pass
@@ -51,14 +51,14 @@
 
     def send_to_each(self, addresses, kind, **body):
         for address in addresses:
-            self.tell(address, kind, **body)
+            self.send(address, kind, **body)
 
-    def hear(self, kind, call, part=None):
+    def subscribe(self, kind, call, part=None):
         self.net.ears.setdefault(self.address, {})[(kind, part)] = call
 
 
-class SimBeat:
-    is_beat = True
+class SimTimer:
+    is_timer = True
 
     def __init__(self, call):
         self.call = call
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -15,7 +15,7 @@
 import tools.callers as callers
 import tools.deployments as deployments
 import tools.replica_memory as replica_memory
-import tools.simulator.desk as desk_module
+import tools.simulator.environment as environment_module
 import tools.simulator.loop as loop_module
 import tools.simulator.network as network
 import tools.simulator.operator_client as operator_client
@@ -37,7 +37,7 @@
         self.roles = []  # (moment, whether both sides of the pool were there)
         self.lapse = False  # whether held memory may end by lapsing
         self.outside = self.machine("outside")
-        self.ops = self.desk(self.outside, "10.0.0.1:1")
+        self.ops = self.environment(self.outside, "10.0.0.1:1")
         self.operator_client = operator_client.OperatorClient(self, self.ops)
         self.list = stand_in_list.PlatformList(lag, lambda: self.loop.time)
         self.net.apps["10.0.0.2:80"] = (self.machine("list"), self.list)
@@ -57,9 +57,9 @@
         self.machines[name] = loop_module.Machine(self.loop, name)
         return self.machines[name]
 
-    def desk(self, machine, address, label=""):
+    def environment(self, machine, address, label=""):
         self.net.machines[address] = machine
-        return desk_module.SimDesk(self.loop, self.net, machine, address, label)
+        return environment_module.SimEnvironment(self.loop, self.net, machine, address, label)
 
     def cell(self, at):
         return self.plan["zones"][at % len(self.plan["zones"])]
@@ -86,9 +86,9 @@
 
     def boot_replica(self, name, machine):
         at = self.settings[name]["http"]
-        desk = self.desk(machine, at)
-        memory = replica_memory.Memory(desk, name, ledger=self.ledger_of(name))
-        memory.fault = desk_module.Fault(machine)
+        environment = self.environment(machine, at)
+        memory = replica_memory.Memory(environment, name, ledger=self.ledger_of(name))
+        memory.fault = environment_module.Fault(machine)
         self.parts[name] = memory
         self.net.apps[at] = (machine, stand_in_replica.Replica(memory, at, lambda: self.kill(name)))
 
@@ -107,7 +107,7 @@
         }
 
     def add_keeper(self, name, at, address):
-        self.disks[name] = desk_module.SimDisk(self.loop, self.machine(name))
+        self.disks[name] = environment_module.SimDisk(self.loop, self.machine(name))
         self.place(name, address, at)
         self.boot_keeper(name)
 
@@ -118,7 +118,7 @@
 
         def make():
             label[0] += 1
-            return self.desk(machine, settings["address"], label[0])
+            return self.environment(machine, settings["address"], label[0])
 
         def mark(length):
             return f"{self.loop.random.getrandbits(8 * length):x}"
@@ -136,7 +136,7 @@
     def boot_router(self, name):
         machine, settings = self.machines[name], self.settings[name]
         self.net.ears[settings["address"]] = {}
-        router = router_module.Router(self.desk(machine, settings["address"]), settings)
+        router = router_module.Router(self.environment(machine, settings["address"]), settings)
         router.run()
         self.parts[name] = router
         self.net.apps[settings["http"]] = (machine, router_front.RouterFront(router))
