--- a/tools/simulator/loop.py
+++ b/tools/simulator/loop.py
@@ -1,7 +1,7 @@
 """Virtual time and tasks: one event after another, the same for the same seed.
 
 Straight-down code runs in greenlets, one at a time, that give way only where the
-product pauses, waits at a gate or for the network. Events belong to a machine: a
+product pauses, waits for an event or for the network. Events belong to a machine: a
 dead machine's are dropped, a frozen machine's wait for its thaw in their order.
 """
 
@@ -78,8 +78,8 @@
                 if not machine.alive or machine.epoch != epoch:
                     continue
                 if machine.frozen_until > self.time:
-                    # after a thaw, beats and what came by the network race each other
-                    late = self.random.random() * 0.005 if getattr(call, "is_beat", False) else 0.0
+                    # after a thaw, timers and what came by the network race each other
+                    late = self.random.random() * 0.005 if getattr(call, "is_timer", False) else 0.0
                     heapq.heappush(self.heap, (machine.frozen_until + late, number, machine, epoch, call))
                     continue
             self.steps += 1
@@ -96,7 +96,7 @@
             self.kept = [t for t in self.kept if not t.dead]
         self.at(0.0, machine, task.switch)
 
-    def pause(self, machine, span):
+    def sleep(self, machine, span):
         task = greenlet.getcurrent()
         if task is self.hub:
             raise RuntimeError("a callback must not wait")
@@ -104,7 +104,7 @@
         self.hub.switch()
 
 
-class Gate:
+class Event:
     """The simulator's event: wait(timeout), set, clear."""
 
     def __init__(self, loop, machine):
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -58,7 +58,7 @@
     def codec_of(self, machine):
         return self.codecs.get(machine.name, records.CODEC)
 
-    def tell(self, machine, sender, goal, kind, body):
+    def send(self, machine, sender, goal, kind, body):
         codec = self.codec_of(machine)
         codec.check_fields(kind, body)  # what a record does not carry would be lost on the way
         data = codec.pack(kind, body)
@@ -86,7 +86,7 @@
 
     def __init__(self, net, asker, server):
         self.net, self.asker, self.server = net, asker, server
-        self.pieces, self.gate_call = [], None
+        self.pieces, self.on_piece = [], None
         self.closed = False
 
     def push(self, piece):
@@ -98,8 +98,8 @@
 
         def arrive():
             self.pieces.append(piece)
-            if self.gate_call:
-                self.gate_call()
+            if self.on_piece:
+                self.on_piece()
 
         self.net.loop.at(self.net.delay(self.server, self.asker), self.asker, arrive)
 
@@ -109,15 +109,15 @@
 
 
 class SimResponse:
-    def __init__(self, channel, gate, status, headers, read):
-        self.channel, self.gate, self.read = channel, gate, read
+    def __init__(self, channel, event, status, headers, read):
+        self.channel, self.event, self.read = channel, event, read
         self.status, self.headers = status, headers
         self.size = int(headers["content-length"]) if "content-length" in headers else None
 
     def pull(self):
         if not self.channel.pieces:
-            self.gate.clear()
-            if not self.gate.wait(self.read):
+            self.event.clear()
+            if not self.event.wait(self.read):
                 raise web.WebFault("ReadTimeoutError", True)
         kind, data = self.channel.pieces.pop(0)
         if kind == "reset":
@@ -167,8 +167,8 @@
 
 
 class SimWeb:
-    def __init__(self, net, machine, new_gate):
-        self.net, self.machine, self.new_gate = net, machine, new_gate
+    def __init__(self, net, machine, new_event):
+        self.net, self.machine, self.new_event = net, machine, new_event
 
     def send(
         self,
@@ -186,10 +186,10 @@
         found = net.apps.get(address)
         other = found[0] if found else None
         if other and not (net.open(own, other) and net.open(other, own)):
-            loop.pause(own, connect)
+            loop.sleep(own, connect)
             raise web.WebFault("ConnectTimeoutError", False)
         net.watch(own, path)
-        loop.pause(own, LOW + loop.random.random() * SPAN)
+        loop.sleep(own, LOW + loop.random.random() * SPAN)
         found = net.apps.get(address)
         if not found or not found[0].alive:
             raise web.WebFault("NewConnectionError", False)
@@ -197,8 +197,8 @@
             raise web.WebFault(web.NOT_READY, False)
         self.net.written(own, path)
         other, app = found
-        channel, gate = Channel(net, own, other), self.new_gate()
-        channel.gate_call = gate.set
+        channel, event = Channel(net, own, other), self.new_event()
+        channel.on_piece = event.set
         data = b"" if body is None else json.dumps(body).encode()
         place, _, query = path.partition("?")
         environ = {
@@ -218,11 +218,11 @@
                 other.on_death = [
                     c for c in other.on_death if not getattr(c, "__self__", None) or not c.__self__.closed
                 ]
-        response = SimResponse(channel, gate, 0, Head(), read)
+        response = SimResponse(channel, event, 0, Head(), read)
         kind, data = response.pull()
         status, fields = data
         fields = Head({k.lower(): v for k, v in fields})
-        return SimResponse(channel, gate, int(status.split()[0]), fields, read)
+        return SimResponse(channel, event, int(status.split()[0]), fields, read)
 
     def serve(self, app, environ, channel):
         def start(status, headers):
--- a/tools/simulator/operator_client.py
+++ b/tools/simulator/operator_client.py
@@ -7,8 +7,8 @@
 class OperatorClient:
     """Calls the keepers of a simulated fleet from a machine that no fault touches."""
 
-    def __init__(self, fleet, desk):
-        self.fleet, self.desk = fleet, desk
+    def __init__(self, fleet, environment):
+        self.fleet, self.environment = fleet, environment
 
     def ask(self, method, path, body=None, most=8):
         """One operator's question to the keepers, tried until answered."""
@@ -17,7 +17,7 @@
             url = f"http://{chance.choice(self.fleet.http('keep'))}{path}"
             try:
                 for _hop in range(4):
-                    response = self.desk.web.send(method, url, body, read=2.0)
+                    response = self.environment.web.send(method, url, body, read=2.0)
                     status, said = response.status, response.body()
                     if status != 307:
                         break
@@ -26,7 +26,7 @@
                     return status, said
             except network.web.WebFault:
                 pass
-            self.desk.pause(0.4)
+            self.environment.sleep(0.4)
         return 0, {}
 
     def apply(self, mark, base=None, body=None, most=8):
--- a/tools/stand_in_replica.py
+++ b/tools/stand_in_replica.py
@@ -14,7 +14,7 @@
 
 import mothshed.http.front as front
 import mothshed.http.web as web
-import mothshed.programs.environment as environment
+import mothshed.programs.environment as environment_module
 import tools.replica_memory as replica_memory
 import tools.token_stream as token_stream
 
@@ -26,20 +26,20 @@
 
     def __init__(self, memory, address, crash=lambda: os._exit(9)):
         self.memory, self.address, self.crash = memory, address, crash
-        self.desk = memory.desk
+        self.environment = memory.environment
 
     def __call__(self, environ, start):
         path, memory = environ["PATH_INFO"], self.memory
-        environ["mothshed.arrived"] = self.desk.now()  # a dark replica answers late what reached it early
-        dark = memory.fault.get("dark_until", 0) - self.desk.now()
+        environ["mothshed.arrived"] = self.environment.now()  # a dark replica answers late what reached it early
+        dark = memory.fault.get("dark_until", 0) - self.environment.now()
         if dark > 0 and path != "/fault":
-            self.desk.pause(min(dark, 30))
+            self.environment.sleep(min(dark, 30))
         data = front.body_of(environ)
         body = json.loads(data) if data else {}
         if path == "/condition":
             return front.respond(start, 200, memory.condition())
         if path == "/kv/pull":
-            self.desk.pause(memory.fault.get("link", 0))
+            self.environment.sleep(memory.fault.get("link", 0))
             digest = memory.pull(body["engine_id"], body["request_id"], body["block_ids"])
             return front.respond(start, 200 if digest else 404, {"digest": digest})
         if path == "/kv/handshake":
@@ -66,7 +66,7 @@
         if body.get("crash"):
             self.crash()
         if "dark" in body:
-            body["dark_until"] = self.desk.now() + body.pop("dark")
+            body["dark_until"] = self.environment.now() + body.pop("dark")
         memory.hold = body.pop("hold", memory.hold)
         if body.pop("lapse", False):
             with memory.lock:
@@ -138,7 +138,7 @@
             sequence=sequence,
             digest=replica_memory.digest_of(prompt),
         )
-        self.desk.pause(memory.uncached(prompt) / replica_memory.READ_SPEED * memory.fault.get("slow", 1))
+        self.environment.sleep(memory.uncached(prompt) / replica_memory.READ_SPEED * memory.fault.get("slow", 1))
         blocks = memory.export(request, prompt)
         host, port = self.address.rsplit(":", 1)
         params = {
@@ -171,15 +171,15 @@
     def fetch(self, request, kv):
         """WAITING_FOR_REMOTE_KVS: handshake once per pair, then pull. None: the memory is gone."""
         memory, base = self.memory, f"http://{kv['remote_host']}:{kv['remote_port']}"
-        self.desk.pause(memory.fault.get("link", 0))
+        self.environment.sleep(memory.fault.get("link", 0))
         try:
             if kv["remote_engine_id"] not in memory.shakes:
-                status, said = self.desk.web.poll("GET", base + "/kv/handshake", read=2.0)
+                status, said = self.environment.web.poll("GET", base + "/kv/handshake", read=2.0)
                 if said.get("engine_id") != kv["remote_engine_id"]:
                     return None
                 memory.shakes.add(kv["remote_engine_id"])
                 memory.ledger.add("handshake", engine=kv["remote_engine_id"])
-            status, said = self.desk.web.poll(
+            status, said = self.environment.web.poll(
                 "POST",
                 base + "/kv/pull",
                 {
@@ -225,7 +225,7 @@
     parser.add_argument("--address", required=True)
     parser.add_argument("--ledger")
     args = parser.parse_args()
-    memory = replica_memory.Memory(environment.Tasks(), args.name, args.ledger)
+    memory = replica_memory.Memory(environment_module.Tasks(), args.name, args.ledger)
     front.Server(args.address, Replica(memory, args.address), THREADS).safe_start()
 
 
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -19,7 +19,7 @@
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.transport.remembered as remembered
 import tools.replica_memory as replica_memory
-import tools.simulator.desk as desk
+import tools.simulator.environment as environment
 import tools.weakened as weakened
 
 ROWS = {
@@ -78,7 +78,7 @@
         "writes kept",
     ),
     "a write is synced before it counts": (
-        weakened.put(desk.SimDisk, sync=weakened.sync_nothing),
+        weakened.put(environment.SimDisk, sync=weakened.sync_nothing),
         "kill_all",
         "writes kept",
     ),
--- a/tools/token_stream.py
+++ b/tools/token_stream.py
@@ -21,7 +21,7 @@
         """Yield each token's event, or what the fault in force makes of it."""
         memory = self.memory
         for at in range(self.count):
-            memory.desk.pause(memory.fault.get("slow", 1) / replica_memory.WRITE_SPEED)
+            memory.environment.sleep(memory.fault.get("slow", 1) / replica_memory.WRITE_SPEED)
             if memory.fault.get("cut_after") == at:
                 raise ConnectionAbortedError("cut by a fault")
             if memory.fault.get("error_after") == at:
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -35,7 +35,7 @@
 def repeat_unsafe(self, e):
     if self.chart.state == "relaying":
         raise verdict.StreamBroken(str(e)) from e
-    if self.desk.now() >= self.request.cutoff:  # or it would go round without end
+    if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.end()
 
 
@@ -81,7 +81,7 @@
 
 
 def bounce_late(self, request, share, make_plan, again=False):
-    self.desk.pause(5.0)
+    self.environment.sleep(5.0)
     raise verdict.Bounce(503, "late", 1)
 
 
@@ -112,8 +112,8 @@
     return min(rows, key=lambda t: t.born, default=None)
 
 
-def ticket(self, tenant, share, gate):
-    self.tenant, self.share, self.gate = tenant, share, gate
+def ticket(self, tenant, share, event):
+    self.tenant, self.share, self.event = tenant, share, event
     TICKETS.append(None)
     self.born = len(TICKETS)
 
@@ -127,8 +127,8 @@
     return stack
 
 
-def any_handle(desk_, request, name, place, sequence, left, ready):
-    handle = PREFILL(desk_, request, name, place, sequence, left, ready)
+def any_handle(environment, request, name, place, sequence, left, ready):
+    handle = PREFILL(environment, request, name, place, sequence, left, ready)
     KEPT.append(handle)
     other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
     return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.born)
