--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -14,7 +14,7 @@
 
 import mothshed.configuration.document_difference as document_difference
 import mothshed.constants as constants
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @dataclasses.dataclass
@@ -47,7 +47,7 @@
         self.next_tick = None
         self.asks = AskCounts()
         self.staged_at: dict[int, float] = {}  # sequence -> when its document came
-        self.reports = ring.Allowance(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
+        self.reports = log_buffer.RateLimiter(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
         for kind in ("grant", "news", "look_elsewhere"):
             environment.subscribe(kind, getattr(self, "on_" + kind), 0)
         environment.post(self.tick)
@@ -152,8 +152,8 @@
             if known is not None:
                 return document_difference.applied(known, change)
         except document_difference.DifferenceFault as fault:
-            ring.trouble("change_does_not_fit", fault, base=base)
-        ring.note("change_not_taken", base=base, active=self.active, staged=self.staged)
+            log_buffer.failure("change_does_not_fit", fault, base=base)
+        log_buffer.note("change_not_taken", base=base, active=self.active, staged=self.staged)
         self.takes_changes = False
         self.renew_soon()
         return None
@@ -189,7 +189,7 @@
         staged_s = round(self.environment.now() - self.staged_at[self.active], 3)
         self.staged_at = {s: at for s, at in self.staged_at.items() if s > self.active}
         fields = {"sequence": self.active, "former": former, "staged_s": staged_s, "leader": self.leader}
-        ring.report_within(self.reports, "version_in_force", **fields)
+        log_buffer.report_limited(self.reports, "version_in_force", **fields)
 
     def note_gap(self, until: float) -> None:
         """Report how long no lease ran, if this one ends such a time; counted from the start for the first."""
@@ -197,7 +197,7 @@
         missing = now - max(self.until, self.started)
         if until > now and missing > constants.LEASE_GAP:
             fields = dataclasses.asdict(self.asks) | {"sequence": self.active, "leader": self.leader}
-            ring.report("lease_back", missing_s=round(missing, 3), **fields)
+            log_buffer.report("lease_back", missing_s=round(missing, 3), **fields)
         if until > now:
             self.asks = AskCounts()
 
--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -16,7 +16,7 @@
 import mothshed.control_plane.leader_hint as leader_hint
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.leaseholder as leaseholder
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 class ConfigDuty:
@@ -31,7 +31,7 @@
         self.number = 0
         self.asking = False
         self.lost = {}  # address -> (when, mark): asked here while this was not the leader
-        self.reports = ring.Allowance(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
+        self.reports = log_buffer.RateLimiter(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
         self.withheld = 0  # the newest sequence for which no lease of an older one was granted
         member.duties.append(self)
         self.machine.changed = self.changed
@@ -82,7 +82,7 @@
         """Report an activation: how long it took, and how many leaseholders lapsed rather than stage it."""
         after = self.environment.now() - self.staged_at.get(sequence, math.inf)
         fields = {"sequence": sequence, "after_s": round(after, 3) if after >= 0 else None}
-        ring.report_within(self.reports, "version_activated", without=self.without(sequence), **fields)
+        log_buffer.report_limited(self.reports, "version_activated", without=self.without(sequence), **fields)
 
     def without(self, sequence: int) -> list[str]:
         """A few leaseholders that have not staged a sequence."""
@@ -94,7 +94,9 @@
         if self.withheld < self.machine.latest:
             self.withheld = self.machine.latest
             fields = {"latest": self.machine.latest, "active": self.machine.active}
-            ring.report_within(self.reports, "older_leases_withheld", without=self.without(self.withheld), **fields)
+            log_buffer.report_limited(
+                self.reports, "older_leases_withheld", without=self.without(self.withheld), **fields
+            )
 
     def push(self):
         self.number += 1
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -12,7 +12,7 @@
 """
 
 import mothshed.constants as constants
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 class Election:
@@ -147,7 +147,7 @@
         if result is not None and self.is_leader:
             self.ready = True
             took = round(self.environment.now() - self.won_at, 3)
-            ring.report("part_led", part=self.part, who=self.who, term=self.log.term, after_s=took)
+            log_buffer.report("part_led", part=self.part, who=self.who, term=self.log.term, after_s=took)
             for duty in self.duties:
                 duty.start()
             self.change_members()
@@ -160,7 +160,7 @@
     def step_back(self, was):
         self.chart.step("follow")
         if was:
-            ring.report("part_given_up", part=self.part, who=self.who, term=self.log.term)
+            log_buffer.report("part_given_up", part=self.part, who=self.who, term=self.log.term)
             self.leader = ""
             self.lose()
 
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -20,7 +20,7 @@
 import mothshed.replicas.listed as listed
 import mothshed.runtime.counters as counters
 import mothshed.runtime.journal as journal_module
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.storage.disk as disk_module
 import mothshed.transport.gossip as gossip
 import mothshed.transport.remembered as remembered
@@ -110,10 +110,10 @@
                 self.disk.put("probe", b".")
                 self.reopen_parts()
             except disk_module.DiskDamaged as damage:  # waiting does not help: an operator wipes the folder
-                ring.trouble("disk_damaged", damage)
+                log_buffer.failure("disk_damaged", damage)
                 return
             except disk_module.DiskFault as fault:
-                ring.note("disk_refuses", reason=str(fault))
+                log_buffer.note("disk_refuses", reason=str(fault))
         self.waiting = False
         if any(member.disk_lost for member in self.members):  # one failed while this thread was about to end
             self.disk_failed()
@@ -125,7 +125,7 @@
                 member, duty = self.open_part(part)
                 former.environment.stop()
                 self.members[part], self.duties[part] = member, duty
-                ring.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
+                log_buffer.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
                 member.begin()
 
     def lease_goals(self):
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -16,7 +16,7 @@
 import mothshed.control_plane.reconfiguration as reconfiguration
 import mothshed.control_plane.replication as replication
 import mothshed.runtime.charts as charts
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.storage.disk as disk_module
 import mothshed.storage.disk_log as disk_log
 
@@ -87,7 +87,7 @@
 
     def fail_disk(self, e):
         """What is on the disk is not known any more: this member takes no further part."""
-        ring.trouble("disk_fault", e, part=self.part)
+        log_buffer.failure("disk_fault", e, part=self.part)
         self.stop()
         self.disk_lost = True
         self.failed()
@@ -115,7 +115,7 @@
 
     def report_voters(self) -> None:
         """Say who votes from now on, as this member sees it."""
-        ring.report(
+        log_buffer.report(
             "voters",
             part=self.part,
             who=self.who,
@@ -180,7 +180,7 @@
 
     def stop_for_newer_release(self, index: int, command: dict[str, typing.Any]) -> None:
         """A later release committed a command that this one cannot apply: going on, its state would differ."""
-        ring.report("command_not_understood", part=self.part, index=index, op=command["op"])
+        log_buffer.report("command_not_understood", part=self.part, index=index, op=command["op"])
         self.applied = index - 1
         self.stop()
 
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -16,7 +16,7 @@
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.verdict as verdict
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 HOP = {
     "connection",
@@ -154,7 +154,7 @@
             return self.fault(start, 504 if late else 502, "; ".join(str(f) for f in e.exceptions), 0, "may_have_run")
         if not isinstance(e, Exception):
             raise e
-        ring.trouble("delivery_crashed", e)
+        log_buffer.failure("delivery_crashed", e)
         add("delivery", outcome="crashed")
         return self.fault(start, 502, "internal fault", 0, "may_have_run")
 
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -16,7 +16,7 @@
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.verdict as verdict
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 class RouterFront:
@@ -118,7 +118,7 @@
             )
         if not isinstance(e, Exception):
             raise e
-        ring.trouble("request_crashed", e)
+        log_buffer.failure("request_crashed", e)
         add("request", outcome="crashed")
         return front.fault(start, 500, "internal fault", verdict="may_have_run", headers=extra)
 
--- a/mothshed/http/front.py
+++ b/mothshed/http/front.py
@@ -21,7 +21,7 @@
 import mothshed.http.idle as idle
 import mothshed.runtime.cancellation as cancellation
 import mothshed.runtime.clock as clock
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 STATUS = {
     200: "OK",
@@ -132,7 +132,7 @@
 
 
 class Server(cheroot.wsgi.Server):
-    """A cheroot server that keeps its troubles in the ring and lets nobody hold its threads.
+    """A cheroot server that keeps its troubles in the log buffer and lets nobody hold its threads.
 
     A connection gets a thread once it says something, not before. From then on it is
     watched: a request that does not come whole within READ_TIME, sooner while no thread
@@ -199,7 +199,7 @@
                 self.look_for_those_who_left(clock.now())
                 self.shut_overdue(clock.now())
             except Exception as error:
-                ring.trouble("watch_failed", error)
+                log_buffer.failure("watch_failed", error)
 
     def fit_threads(self, now: float) -> None:
         """Start some threads while few are idle, and end some once many were idle for long.
@@ -243,5 +243,5 @@
                 conn.caller.cancellation.cancel()
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Keep what the library says of its troubles in the ring."""
-        ring.note("http_server", message=msg)
+        """Keep what the library says of its troubles in the log buffer."""
+        log_buffer.note("http_server", message=msg)
--- a/mothshed/programs/environment.py
+++ b/mothshed/programs/environment.py
@@ -17,8 +17,8 @@
 import mothshed.http.kept as kept
 import mothshed.http.web as web
 import mothshed.runtime.clock as clock
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.mailbox as mailbox
-import mothshed.runtime.ring as ring
 
 
 class Tasks:
@@ -45,7 +45,7 @@
             try:
                 call()
             except Exception as e:
-                ring.trouble("task_failed", e)
+                log_buffer.failure("task_failed", e)
 
         threading.Thread(target=run, daemon=True).start()
 
--- a/mothshed/programs/keep.py
+++ b/mothshed/programs/keep.py
@@ -8,7 +8,7 @@
 import mothshed.control_plane.keeper as keeper_module
 import mothshed.programs.process as process
 import mothshed.programs.serving as serving
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @cappa.command(
@@ -29,7 +29,7 @@
     """Run a keeper until it is asked to stop; raises serving.ProgramEnd or DiskFault."""
     make = serving.environments(settings)
     keeper = keeper_module.Keeper(make(), settings, make, serving.open_disk(settings["data"]))
-    ring.hold(keeper.journal)
+    log_buffer.attach_journal(keeper.journal)
     keeper.run()
     serving.serve(keeper.front(), keeper.drain)
 
--- a/mothshed/programs/logs.py
+++ b/mothshed/programs/logs.py
@@ -1,6 +1,6 @@
 """Reading daemons' logs: several files of JSON lines, merged by time.
 
-The files are what `ring.write` made: one JSON object a line, each with its moment,
+The files are what `log_buffer.write` made: one JSON object a line, each with its moment,
 its kind, the process and its own fields. The moments of a journal's events count since
 boot; the latest message of their process that bears both moments sets them in. A line that is none of these (another
 program's words on standard error, a line torn by a kill) is passed over and counted.
--- a/mothshed/programs/process.py
+++ b/mothshed/programs/process.py
@@ -8,7 +8,7 @@
 
 import mothshed.configuration.settings as settings_module
 import mothshed.programs.serving as serving
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.storage.disk as disk_module
 
 Flag = str | None
@@ -39,7 +39,7 @@
         found = settings_module.load(args.settings, flags, keeper)
     except settings_module.SettingsFault as e:
         raise cappa.Exit("settings are not valid:\n" + "\n".join(f"  {f}" for f in e.found), code=2) from e
-    ring.start(found["name"], found.get("ring"))
+    log_buffer.start(found["name"], found.get("ring"))
     return found
 
 
--- a/mothshed/programs/route.py
+++ b/mothshed/programs/route.py
@@ -9,7 +9,7 @@
 import mothshed.data_plane.router as router_module
 import mothshed.programs.process as process
 import mothshed.programs.serving as serving
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @cappa.command(
@@ -28,7 +28,7 @@
 def route(settings: dict[str, typing.Any]) -> None:
     """Run a router until it is asked to stop; raises serving.ProgramEnd."""
     router = router_module.Router(serving.environments(settings)(), settings)
-    ring.hold(router.journal)
+    log_buffer.attach_journal(router.journal)
     router.run()
     serving.serve(router.front(), lambda: router.drain(settings.get("drain_s", constants.DRAIN_MOST)))
 
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -14,7 +14,7 @@
 import mothshed.constants as constants
 import mothshed.http.front as front
 import mothshed.programs.environment as environment_module
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.timers as timers
 import mothshed.storage.disk as disk_module
 import mothshed.transport.peers as peers
@@ -60,7 +60,7 @@
             disk.put("probe", b".")
             return disk
         except disk_module.DiskFault as fault:
-            ring.note("disk_refuses", reason=str(fault))
+            log_buffer.note("disk_refuses", reason=str(fault))
             sleep(constants.DISK_RETRY)
 
 
@@ -77,7 +77,7 @@
         try:
             reread()
         except settings_module.SettingsFault as e:  # the old settings stand
-            ring.note("settings_unreadable", reason=str(e))
+            log_buffer.note("settings_unreadable", reason=str(e))
 
     signal.signal(signal.SIGHUP, on_hup)
     signal.signal(signal.SIGTERM, on_signal)
--- a/mothshed/runtime/__init__.py
+++ b/mothshed/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every process needs to run: clock, timers, mailbox, cancellation, log ring, journal, counters, state charts."""
+"""What every process needs: clock, timers, mailbox, cancellation, log buffer, journal, counters, state charts."""
--- a/mothshed/runtime/counters.py
+++ b/mothshed/runtime/counters.py
@@ -5,7 +5,7 @@
 
 import mothshed.constants as constants
 import mothshed.runtime.journal as journal
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 Figures = collections.abc.Callable[[], dict[str, int]]
 
@@ -28,7 +28,7 @@
         """Report what changed, and come again."""
         added = self.added()
         if added:
-            ring.report("counters", **added, **self.figures())
+            log_buffer.report("counters", **added, **self.figures())
         self.timers.call_later(constants.COUNTERS_INTERVAL, self.tick)
 
     def added(self) -> dict[str, int]:
--- a/mothshed/runtime/journal.py
+++ b/mothshed/runtime/journal.py
@@ -2,7 +2,7 @@
 
 Inside a process what happened is appended as an event, and everything that
 decisions read is a view folded from those events in order. The journal keeps
-the latest events, which the log ring writes out when something goes wrong; views
+the latest events, which the log buffer writes out when something goes wrong; views
 keep what they folded.
 
 >>> j = Journal()
--- a/mothshed/runtime/ring.py
+++ b/mothshed/runtime/log_buffer.py
@@ -1,8 +1,8 @@
-"""The log ring: eliot messages kept in memory, written out when something goes wrong.
+"""The log buffer: eliot messages kept in memory, written out when something goes wrong.
 
 In ordinary running only rare changes of state are written as they happen (`report`): who leads
 a part, who votes in it, when leases were missing, what a process had counted. All else stays in
-memory. `trouble` records a failure and writes the whole ring, as JSON lines, to the place
+memory. `failure` records a failure and writes the whole buffer, as JSON lines, to the place
 named at start (a file or standard error), at most once in a few seconds so that a storm
 stays readable.
 The events of the process's journal that were not written before go out with it.
@@ -22,17 +22,17 @@
 
 import mothshed.constants as constants
 
-ROWS = collections.deque(maxlen=constants.RING_MOST)
+MESSAGES = collections.deque(maxlen=constants.RING_MOST)
 JOURNALS = []
 STATE = {"path": None, "last": -1e9, "name": "", "on": False}
 LOCK = threading.Lock()
 
 
-class Allowance:
+class RateLimiter:
     """How many lines may still be reported now: a storm of changes must not cost its process the time to serve.
 
-    >>> allowance = Allowance(2, per_second=1.0)
-    >>> [allowance.take(at) for at in (0.0, 0.0, 0.0, 1.0, 1.5)]
+    >>> limiter = RateLimiter(2, per_second=1.0)
+    >>> [limiter.take(at) for at in (0.0, 0.0, 0.0, 1.0, 1.5)]
     [True, True, False, True, False]
     """
 
@@ -50,20 +50,20 @@
         return True
 
 
-ALLOWANCE = Allowance(constants.REPORT_MOST, constants.REPORT_RATE)
+REPORT_LIMITER = RateLimiter(constants.REPORT_MOST, constants.REPORT_RATE)
 
 
-def keep(message: dict[str, typing.Any]) -> None:
-    """Take a message of the log library: into memory, or out at once if it is a report within the allowance."""
+def handle_message(message: dict[str, typing.Any]) -> None:
+    """Take a message of the log library: into memory, or out at once if it is a report within the rate limit."""
     if not message.pop("report", False):
-        ROWS.append(message)
+        MESSAGES.append(message)
         return
     with LOCK:
-        allowed = ALLOWANCE.take(time.monotonic())
+        allowed = REPORT_LIMITER.take(time.monotonic())
         if allowed:
-            put_out(line_of(message))
+            write_text(json_line(message))
     if not allowed:
-        ROWS.append(message)
+        MESSAGES.append(message)
 
 
 def start(name: str, path: str | None = None) -> None:
@@ -71,11 +71,11 @@
     STATE.update(name=name, path=path)
     if not STATE["on"]:
         STATE["on"] = True
-        eliot.add_destinations(keep)
+        eliot.add_destinations(handle_message)
 
 
-def hold(journal: typing.Any) -> None:
-    """The journal's events are written out with the ring from now on."""
+def attach_journal(journal: typing.Any) -> None:
+    """The journal's events are written out with the log buffer from now on."""
     JOURNALS.append(journal)
 
 
@@ -85,19 +85,19 @@
 
 
 def report(kind: str, **fields: object) -> None:
-    """Write a rare change of state at once; beyond the allowance it is kept in memory like a note."""
+    """Write a rare change of state at once; beyond the rate limit it is kept in memory like a note."""
     note(kind, report=True, **fields)
 
 
-def report_within(allowance: Allowance, kind: str, **fields: object) -> None:
-    """Report what an allowance of its own lets through; the rest is kept in memory.
+def report_limited(limiter: RateLimiter, kind: str, **fields: object) -> None:
+    """Report what a rate limiter of its own lets through; the rest is kept in memory.
 
     Many changes of one kind then leave the lines of all other kinds alone.
     """
-    note(kind, report=allowance.take(time.monotonic()), **fields)
+    note(kind, report=limiter.take(time.monotonic()), **fields)
 
 
-def trouble(kind: str, error: BaseException | None = None, **fields: typing.Any) -> None:
+def failure(kind: str, error: BaseException | None = None, **fields: typing.Any) -> None:
     """Keep a failure, and write all that is in memory unless that was done in the last seconds."""
     if error is not None:
         fields["error"] = "".join(traceback.format_exception(error))
@@ -114,18 +114,18 @@
     events = [{"message_type": kind, **event} for journal in JOURNALS for kind, event in journal.fresh()]
     if events:
         note("journal_written", at=JOURNALS[0].now(), events=len(events))
-    rows = "".join(line_of(row) for row in [*ROWS, *events])
-    ROWS.clear()
-    put_out(rows)
+    rows = "".join(json_line(row) for row in [*MESSAGES, *events])
+    MESSAGES.clear()
+    write_text(rows)
 
 
-def line_of(row: dict[str, object]) -> str:
+def json_line(row: dict[str, object]) -> str:
     """One row of the log as a JSON line."""
     return json.dumps({**row, "process": STATE["name"]}, default=str) + "\n"
 
 
-def put_out(text: str) -> None:
-    """Append lines to the ring's file, or to standard error."""
+def write_text(text: str) -> None:
+    """Append lines to the log buffer's file, or to standard error."""
     if STATE["path"]:
         with open(STATE["path"], "a") as file:
             file.write(text)
--- a/mothshed/runtime/mailbox.py
+++ b/mothshed/runtime/mailbox.py
@@ -5,7 +5,7 @@
 
 import pykka
 
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 class Mailbox(pykka.ThreadingActor):
@@ -17,5 +17,5 @@
         """Run one callback; one that fails is noted, and the next one runs."""
         try:
             call()
-        except Exception as error:  # the part lives on; the ring says what happened
-            ring.trouble("callback_failed", error)
+        except Exception as error:  # the part lives on; the log buffer says what happened
+            log_buffer.failure("callback_failed", error)
--- a/mothshed/transport/link_loop.py
+++ b/mothshed/transport/link_loop.py
@@ -10,7 +10,7 @@
 import socket
 import threading
 
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.waker as waker_module
 import mothshed.transport.constants as transport_constants
 import mothshed.transport.link as link_module
@@ -51,7 +51,7 @@
             try:
                 self.step()
             except Exception as error:
-                ring.trouble("links_failed", error)
+                log_buffer.failure("links_failed", error)
         with self.table.lock:
             self.watch_what_others_left()
             for link in list(self.table.links):
@@ -146,7 +146,7 @@
 
     def spoiled(self, link: link_module.Link, fault: records.RecordFault) -> None:
         """A link carried what is no record."""
-        ring.note("record_fault", reason=str(fault), who=link.address)
+        log_buffer.note("record_fault", reason=str(fault), who=link.address)
         self.end(link, "record_fault")
 
     def end(self, link: link_module.Link, counted: str) -> None:
--- a/mothshed/transport/peers.py
+++ b/mothshed/transport/peers.py
@@ -10,7 +10,7 @@
 import typing
 
 import mothshed.runtime.clock as clock
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.transport.link_loop as link_loop
 import mothshed.transport.records as records
 
@@ -65,7 +65,7 @@
         try:
             call(sender, body)
         except Exception as error:
-            ring.trouble("receiver_failed", error)
+            log_buffer.failure("receiver_failed", error)
 
     def releases(self) -> dict[str, int]:
         """Peer -> its release, of those that told it by a connection that stands."""
--- a/mothshed/transport/remembered.py
+++ b/mothshed/transport/remembered.py
@@ -9,7 +9,7 @@
 
 import json
 
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.storage.disk as disk_module
 import mothshed.transport.constants as transport_constants
 
@@ -31,7 +31,7 @@
             rows = json.loads(self.disk.read(FILE) or b"[]")
             return sorted({str(a) for a in rows if ":" in str(a)})[: transport_constants.REMEMBER_MOST]
         except (ValueError, TypeError, disk_module.DiskFault) as e:
-            ring.note("neighbours_unreadable", reason=str(e))
+            log_buffer.note("neighbours_unreadable", reason=str(e))
             return []
 
     def heard(self, address):
@@ -61,7 +61,7 @@
         try:
             self.disk.put(FILE, json.dumps(rows).encode())
         except disk_module.DiskFault as e:
-            ring.note("neighbours_unwritten", reason=str(e))
+            log_buffer.note("neighbours_unwritten", reason=str(e))
             self.kept = []  # tried again on a later beat
         finally:
             self.writing, self.written_at = False, self.environment.now()
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -10,7 +10,7 @@
 
 import mothshed.data_plane.deliver as deliver
 import mothshed.data_plane.permits as permits
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import mothshed.transport.records as records
 import tests.platform_door as platform_door
 import tests.platform_site as platform_site
@@ -23,14 +23,16 @@
 
 @pytest.fixture
 def ring_file(tmp_path, monkeypatch):
-    """The file that the ring is written to; what stood in memory before is forgotten."""
-    monkeypatch.setattr(ring, "STATE", {**ring.STATE, "path": str(tmp_path / "ring"), "last": -1e9, "name": "test"})
-    monkeypatch.setattr(ring, "JOURNALS", [])
-    eliot.add_destinations(ring.keep)
-    ring.ROWS.clear()
+    """The file that the log buffer is written to; what stood in memory before is forgotten."""
+    monkeypatch.setattr(
+        log_buffer, "STATE", {**log_buffer.STATE, "path": str(tmp_path / "ring"), "last": -1e9, "name": "test"}
+    )
+    monkeypatch.setattr(log_buffer, "JOURNALS", [])
+    eliot.add_destinations(log_buffer.handle_message)
+    log_buffer.MESSAGES.clear()
     yield tmp_path / "ring"
-    eliot.remove_destination(ring.keep)
-    ring.ROWS.clear()
+    eliot.remove_destination(log_buffer.handle_message)
+    log_buffer.MESSAGES.clear()
 
 
 def crash(_sequence, _document, _pool, ask, *_more):
@@ -51,7 +53,7 @@
 
     monkeypatch.setattr(deliver.Deliver, "__init__", keep)
     monkeypatch.setattr(found.router.permits, "take", lambda *order: None)
-    ring.hold(found.router.journal)
+    log_buffer.attach_journal(found.router.journal)
     found.lease.active = found.lease.staged = 0  # for the page of the router's condition
     found.lease.change(senders=TENANTS)
     yield found
@@ -59,8 +61,8 @@
 
 
 def shown_by_ring(ring_file):
-    """Everything the ring holds or has written, with the journals' events."""
-    ring.write()
+    """Everything the log buffer holds or has written, with the journals' events."""
+    log_buffer.write()
     return ring_file.read_text()
 
 
@@ -164,8 +166,8 @@
 @pytest.fixture
 def door(tmp_path, ring_file):
     found = platform_door.Door(tmp_path / "data")
-    ring.hold(found.router.journal)
-    ring.hold(found.keeper.journal)
+    log_buffer.attach_journal(found.router.journal)
+    log_buffer.attach_journal(found.keeper.journal)
     yield found
     found.stop()
 
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -51,7 +51,7 @@
     """A new leader answers with grants of no length for a while: they end no such time and shorten none."""
     pool, reported = all_orders.Pool(), []
     monkeypatch.setattr(
-        lease_module.ring, "report", lambda kind, **fields: reported.append((kind, fields["missing_s"]))
+        lease_module.log_buffer, "report", lambda kind, **fields: reported.append((kind, fields["missing_s"]))
     )
     lease = start(pool, "one life")
     receive = pool.ears[ADDRESS][("grant", 0)]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: the ring writes the journal's events too, once each; `mothshed logs` merges by time."""
+"""Logs: the log buffer writes the journal's events too, once each; `mothshed logs` merges by time."""
 
 import json
 import subprocess
@@ -8,23 +8,29 @@
 
 import mothshed.programs.logs as logs
 import mothshed.runtime.journal as journal_module
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @pytest.fixture
 def ringed(tmp_path, monkeypatch):
-    """(path of the ring's file, a journal that it holds, its clock)."""
+    """(path of the log buffer's file, a journal that it holds, its clock)."""
     clock = [100.0]
     journal = journal_module.Journal(lambda: clock[0])
-    monkeypatch.setattr(ring, "STATE", {"path": str(tmp_path / "ring"), "last": -1e9, "name": "route-1", "on": True})
-    monkeypatch.setattr(ring, "JOURNALS", [])
     monkeypatch.setattr(
-        ring, "note", lambda kind, **fields: ring.keep({"timestamp": 5000.0 + clock[0], "message_type": kind, **fields})
+        log_buffer, "STATE", {"path": str(tmp_path / "ring"), "last": -1e9, "name": "route-1", "on": True}
     )
-    ring.ROWS.clear()
-    ring.hold(journal)
+    monkeypatch.setattr(log_buffer, "JOURNALS", [])
+    monkeypatch.setattr(
+        log_buffer,
+        "note",
+        lambda kind, **fields: log_buffer.handle_message(
+            {"timestamp": 5000.0 + clock[0], "message_type": kind, **fields}
+        ),
+    )
+    log_buffer.MESSAGES.clear()
+    log_buffer.attach_journal(journal)
     yield tmp_path / "ring", journal, clock
-    ring.ROWS.clear()
+    log_buffer.MESSAGES.clear()
 
 
 def rows(path):
@@ -38,10 +44,10 @@
     journal.add("send_failed", replica="r1", request="a1")
     clock[0] = 102.0
     journal.add("free", outcome="done")
-    ring.keep({"timestamp": 5101.0, "message_type": "disk_fault"})
+    log_buffer.handle_message({"timestamp": 5101.0, "message_type": "disk_fault"})
     assert not path.exists()
     clock[0] = 103.0
-    ring.write()
+    log_buffer.write()
     assert rows(path) == [
         {"message_type": "disk_fault", "timestamp": 5101.0, "process": "route-1"},
         {"message_type": "send_failed", "at": 100.0, "replica": "r1", "request": "a1", "process": "route-1"},
@@ -66,10 +72,10 @@
 def test_after_a_restart_of_the_machine_moments_count_anew(ringed):
     path, journal, clock = ringed
     journal.add("free", number=0)
-    ring.write()
+    log_buffer.write()
     clock[0] = 7.0  # the clock since boot begins again; the test's wall time goes with it
     journal.add("free", number=1)
-    ring.write()
+    log_buffer.write()
     assert [(row["timestamp"], row["number"]) for row in logs.read([path])[0] if "number" in row] == [
         (5007.0, 1),
         (5100.0, 0),
@@ -91,15 +97,15 @@
     path, journal, clock = ringed
     for number in range(3):
         journal.add("free", number=number)
-        ring.write()
-        ring.write()
+        log_buffer.write()
+        log_buffer.write()
     assert [row["number"] for row in rows(path)] == [0, 1, 2]
 
 
 def test_a_full_journal_gives_its_latest_and_gives_them_once(ringed):
     path, journal, clock = ringed
     journal.add("free", number=-1)
-    ring.write()
+    log_buffer.write()
     for number in range(journal.events.maxlen + 10):
         journal.add("free", number=number)
     assert [e["number"] for k, e in journal.fresh()] == list(range(10, journal.events.maxlen + 10))
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -6,7 +6,7 @@
 
 import mothshed.runtime.counters as counters
 import mothshed.runtime.journal as journal
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @pytest.fixture
@@ -14,26 +14,28 @@
     """Read what was written so far, as rows."""
     path = tmp_path / "ring"
     path.touch()
-    monkeypatch.setattr(ring, "STATE", {"path": str(path), "last": -1e9, "name": "keep-1", "on": True})
-    monkeypatch.setattr(ring, "JOURNALS", [])
-    monkeypatch.setattr(ring, "ALLOWANCE", ring.Allowance(2, 0.0))
-    monkeypatch.setattr(ring, "note", lambda kind, **fields: ring.keep({"message_type": kind, **fields}))
-    ring.ROWS.clear()
+    monkeypatch.setattr(log_buffer, "STATE", {"path": str(path), "last": -1e9, "name": "keep-1", "on": True})
+    monkeypatch.setattr(log_buffer, "JOURNALS", [])
+    monkeypatch.setattr(log_buffer, "REPORT_LIMITER", log_buffer.RateLimiter(2, 0.0))
+    monkeypatch.setattr(
+        log_buffer, "note", lambda kind, **fields: log_buffer.handle_message({"message_type": kind, **fields})
+    )
+    log_buffer.MESSAGES.clear()
     yield lambda: [json.loads(line) for line in path.read_text().splitlines()]
-    ring.ROWS.clear()
+    log_buffer.MESSAGES.clear()
 
 
 def test_a_report_is_written_at_once_and_a_note_is_not(written):
-    ring.note("list", reason="timeout")
-    ring.report("part_led", part=2)
+    log_buffer.note("list", reason="timeout")
+    log_buffer.report("part_led", part=2)
     assert written() == [{"message_type": "part_led", "part": 2, "process": "keep-1"}]
 
 
 def test_reports_beyond_the_allowance_wait_in_memory_until_something_goes_wrong(written):
     for part in range(4):
-        ring.report("part_led", part=part)
+        log_buffer.report("part_led", part=part)
     assert [row["part"] for row in written()] == [0, 1]
-    ring.write()
+    log_buffer.write()
     assert [row["part"] for row in written()] == [0, 1, 2, 3]
 
 
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The tools' own manners: bad words are one error, nothing done, non-zero; the ring is written out."""
+"""The tools' own manners: bad words are one error, nothing done, non-zero; the log buffer is written out."""
 
 import json
 import subprocess
@@ -6,7 +6,7 @@
 
 import pytest
 
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 
 
 @pytest.mark.parametrize(
@@ -40,13 +40,13 @@
 
 def test_the_ring_is_written_out_when_something_goes_wrong(tmp_path, monkeypatch):
     path = tmp_path / "ring"
-    monkeypatch.setattr(ring, "STATE", {"path": str(path), "last": -1e9, "name": "t", "on": True})
-    ring.ROWS.clear()
-    ring.keep({"message_type": "before"})
+    monkeypatch.setattr(log_buffer, "STATE", {"path": str(path), "last": -1e9, "name": "t", "on": True})
+    log_buffer.MESSAGES.clear()
+    log_buffer.handle_message({"message_type": "before"})
     assert not path.exists()
     try:
         raise ValueError("broke")
     except ValueError as e:
-        ring.trouble("test_trouble", e)
+        log_buffer.failure("test_trouble", e)
     rows = [json.loads(line) for line in path.read_text().splitlines()]
-    assert rows[0]["message_type"] == "before" and len(ring.ROWS) <= 1
+    assert rows[0]["message_type"] == "before" and len(log_buffer.MESSAGES) <= 1
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -4,7 +4,7 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import tests.all_orders as all_orders
 import tests.test_lease_state as lease_state
 
@@ -13,7 +13,7 @@
 def written(monkeypatch):
     """Everything that would be kept or written: its kind and fields."""
     rows = []
-    monkeypatch.setattr(ring, "note", lambda kind, **fields: rows.append((kind, fields)))
+    monkeypatch.setattr(log_buffer, "note", lambda kind, **fields: rows.append((kind, fields)))
     return rows
 
 
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -11,7 +11,7 @@
 import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.data_plane.router as router_module
 import mothshed.data_plane.router_front as router_front
-import mothshed.runtime.ring as ring
+import mothshed.runtime.log_buffer as log_buffer
 import tools.callers as callers
 import tools.deployments as deployments
 import tools.replica_memory as replica_memory
@@ -238,4 +238,4 @@
         return load
 
 
-ring.start("simulator", "/dev/null")
+log_buffer.start("simulator", "/dev/null")
