--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -33,7 +33,7 @@
         self.lost = {}  # address -> (when, mark): asked here while this was not the leader
         self.reports = log_buffer.RateLimiter(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
         self.withheld = 0  # the newest sequence for which no lease of an older one was granted
-        member.duties.append(self)
+        member.leader_tasks.append(self)
         self.machine.changed = self.changed
         self.environment.subscribe("ask", self.on_ask, 0)
         self.environment.subscribe("news_ack", self.on_news_ack, 0)
@@ -151,7 +151,7 @@
             number=self.number,
             active=self.machine.active,
             docs=delivery.docs,
-            leader=self.member.who,
+            leader=self.member.member_id,
             changes=delivery.changes,
         )
 
--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -115,14 +115,14 @@
         self, begin: collections.abc.Callable[[PendingCall], None], span: float = constants.OPERATOR_WAIT
     ) -> typing.Any:
         """Begin a call within the mailbox while a majority is in touch, and wait span seconds for its end."""
-        if not self.member.sure():  # also read here: the mailbox may be held up by its disk
+        if not self.member.has_quorum():  # also read here: the mailbox may be held up by its disk
             raise NotConfirmed()
         call = PendingCall(self.mailbox.new_event())
 
         def begin_once() -> None:
             if not call.claim():
                 return
-            if self.member.sure():
+            if self.member.has_quorum():
                 begin(call)
             else:
                 call.end(NotConfirmed())
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -18,14 +18,14 @@
 class Election:
     """Candidacies, votes, terms and hand-over."""
 
-    def start_election(self):
+    def init_election(self):
         self.votes = set()
-        self.trial = False
-        self.woken = self.environment.now()  # last vote given or asked for
-        self.pick_patience()
+        self.pre_vote = False
+        self.last_vote_at = self.environment.now()  # last vote given or asked for
+        self.pick_election_timeout()
 
-    def pick_patience(self):
-        self.patience = constants.ELECT_LOW + self.environment.random.random() * constants.ELECT_SPAN
+    def pick_election_timeout(self):
+        self.election_timeout = constants.ELECT_LOW + self.environment.random.random() * constants.ELECT_SPAN
 
     def tick(self):
         if self.chart.state == "stopped":
@@ -38,75 +38,75 @@
         if self.is_leader:
             self.keep_leading(now)
         elif self.chart.state in ("follower", "candidate") and not self.leaving:
-            due = max(self.heard, self.woken) + self.patience - now
+            due = max(self.last_contact, self.last_vote_at) + self.election_timeout - now
             if due <= 0:
-                self.stand(trial=True)
+                self.start_election(pre_vote=True)
             elif due < constants.HEART_BEAT:
-                self.environment.call_later(due, self.guard(self.stand_if_due))
+                self.environment.call_later(due, self.guard(self.start_election_if_due))
         self.keep_joining(now)
 
-    def stand_if_due(self):
-        quiet = self.environment.now() - max(self.heard, self.woken)
+    def start_election_if_due(self):
+        quiet = self.environment.now() - max(self.last_contact, self.last_vote_at)
         if (
             self.chart.state in ("follower", "candidate")
             and not self.leaving
-            and quiet > self.patience - constants.ROUNDING
+            and quiet > self.election_timeout - constants.ROUNDING
         ):
-            self.stand(trial=True)
+            self.start_election(pre_vote=True)
 
-    def give_way(self):
+    def withdraw_candidacy(self):
         """Another one in a trial goes first; its answer to us counts no more."""
-        self.votes, self.woken = set(), self.environment.now()
-        self.pick_patience()
-
-    def stand(self, trial, handed=False):
-        self.woken = self.environment.now()
-        self.pick_patience()
-        self.trial = trial
-        self.handed = handed
-        self.votes = {self.who}
+        self.votes, self.last_vote_at = set(), self.environment.now()
+        self.pick_election_timeout()
+
+    def start_election(self, pre_vote, by_transfer=False):
+        self.last_vote_at = self.environment.now()
+        self.pick_election_timeout()
+        self.pre_vote = pre_vote
+        self.by_transfer = by_transfer
+        self.votes = {self.member_id}
         self.chart.step("stand")
         self.leader = ""
-        if not trial:
-            self.log.put_term(self.log.term + 1, self.who)
-        for m in self.others():
+        if not pre_vote:
+            self.log.put_term(self.log.term + 1, self.member_id)
+        for m in self.other_members():
             self.send(
                 m,
                 "vote_ask",
-                term=self.log.term + (1 if trial else 0),
+                term=self.log.term + (1 if pre_vote else 0),
                 last=self.log.last,
                 last_term=self.log.last_term,
-                trial=trial,
-                handed=handed,
+                trial=pre_vote,
+                handed=by_transfer,
             )
         self.count_votes()
 
     def on_vote_ask(self, sender, body):
         now = self.environment.now()
-        if self.who not in self.members:
+        if self.member_id not in self.members:
             return
-        if not body["handed"] and (self.is_leader or now - self.heard < constants.VOTE_HOLD):
+        if not body["handed"] and (self.is_leader or now - self.last_contact < constants.VOTE_HOLD):
             return
         if body["term"] > self.log.term and not body["trial"]:
-            self.take_term(body["term"])
+            self.adopt_term(body["term"])
         fresh = (body["last_term"], body["last"]) >= (self.log.last_term, self.log.last)
         if body["trial"]:
             good = body["term"] > self.log.term and fresh
-            if good and self.chart.state == "candidate" and self.trial and body["who"] < self.who:
-                self.give_way()
+            if good and self.chart.state == "candidate" and self.pre_vote and body["who"] < self.member_id:
+                self.withdraw_candidacy()
         else:
             good = body["term"] == self.log.term and fresh and self.log.vote in ("", body["who"])
             if good:
                 self.log.put_term(self.log.term, body["who"])
-                self.woken = now
-        self.where[body["who"]] = sender
+                self.last_vote_at = now
+        self.last_addresses[body["who"]] = sender
         self.send(body["who"], "vote_say", term=self.log.term, granted=good, trial=body["trial"])
 
     def on_vote_say(self, sender, body):
         if body["term"] > self.log.term:
-            self.take_term(body["term"])
+            self.adopt_term(body["term"])
             return
-        if self.chart.state != "candidate" or body["trial"] != self.trial or not body["granted"]:
+        if self.chart.state != "candidate" or body["trial"] != self.pre_vote or not body["granted"]:
             return
         if not body["trial"] and body["term"] != self.log.term:
             return
@@ -117,10 +117,10 @@
     def count_votes(self):
         if not self.membership.has_quorum(self.votes):
             return
-        if self.trial:
-            self.stand(trial=False)
+        if self.pre_vote:
+            self.start_election(pre_vote=False)
         else:
-            self.win()
+            self.become_leader()
 
     def former_leases_end(self, lease_s: float) -> float:
         """When every lease that earlier leaders granted, each for lease_s at most, has run out: on this member's clock.
@@ -131,66 +131,66 @@
         which is no shorter). Votes for a successor that its leader named are given at once: then nothing is taken
         off.
         """
-        held_s = 0.0 if self.handed else min(constants.VOTE_HOLD, constants.LEADER_QUIET)
-        return float(self.won_at) + lease_s - held_s + constants.LEASE_SLACK
+        held_s = 0.0 if self.by_transfer else min(constants.VOTE_HOLD, constants.LEADER_QUIET)
+        return float(self.elected_at) + lease_s - held_s + constants.LEASE_SLACK
 
-    def win(self):
+    def become_leader(self):
         self.chart.step("win")
-        self.leader = self.who
-        self.won_at = self.environment.now()
-        self.start_replication()
+        self.leader = self.member_id
+        self.elected_at = self.environment.now()
+        self.reset_replication()
         self.ready = False
-        self.propose({"op": "begin", "who": self.who}, self.begun)
+        self.propose({"op": "begin", "who": self.member_id}, self.begun)
 
     def begun(self, result):
         """Own first entry committed: all earlier ones are known, duties may start."""
         if result is not None and self.is_leader:
             self.ready = True
-            took = round(self.environment.now() - self.won_at, 3)
-            log_buffer.report("part_led", part=self.part, who=self.who, term=self.log.term, after_s=took)
-            for duty in self.duties:
+            took = round(self.environment.now() - self.elected_at, 3)
+            log_buffer.report("part_led", part=self.part, who=self.member_id, term=self.log.term, after_s=took)
+            for duty in self.leader_tasks:
                 duty.start()
             self.change_members()
 
-    def take_term(self, term):
+    def adopt_term(self, term):
         was = self.is_leader
         self.log.put_term(term, "")
-        self.step_back(was)
+        self.step_down(was)
 
-    def step_back(self, was):
+    def step_down(self, was):
         self.chart.step("follow")
         if was:
-            log_buffer.report("part_given_up", part=self.part, who=self.who, term=self.log.term)
+            log_buffer.report("part_given_up", part=self.part, who=self.member_id, term=self.log.term)
             self.leader = ""
-            self.lose()
+            self.lose_leadership()
 
     def follow(self, body, sender):
         """A valid leader's record: obey it."""
         if body["term"] > self.log.term:
-            self.take_term(body["term"])
+            self.adopt_term(body["term"])
         elif self.chart.state in ("candidate", "empty"):
-            self.step_back(False)
+            self.step_down(False)
         self.leader = body["who"]
-        self.where[body["who"]] = sender
-        self.heard = self.environment.now()
+        self.last_addresses[body["who"]] = sender
+        self.last_contact = self.environment.now()
 
-    def hand_over(self):
+    def transfer_leadership(self):
         """Names the fullest other member as successor and stops taking writes."""
         if not self.is_leader:
             return False
         held = {
             m: self.progress[m]
             for m in self.membership.voters
-            if m in self.progress and m not in (self.who, *self.leavers)
+            if m in self.progress and m not in (self.member_id, *self.departing)
         }
         ready = [m for m, progress in held.items() if progress.match == self.log.last]
         if not ready:
             return False
         self.send(max(ready, key=lambda m: held[m].round), "hand", term=self.log.term)
-        self.heard = self.environment.now()
-        self.step_back(True)
+        self.last_contact = self.environment.now()
+        self.step_down(True)
         return True
 
     def on_hand(self, sender, body):
         if body["term"] == self.log.term and self.chart.state == "follower" and not self.leaving:
-            self.stand(trial=False, handed=True)
+            self.start_election(pre_vote=False, by_transfer=True)
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -13,7 +13,7 @@
 class Following:
     """How a member obeys a leader."""
 
-    def start_following(self) -> None:
+    def init_following(self) -> None:
         """Makes ready to collect a snapshot, and proofs of what was not committed yet."""
         self.collector = snapshot_transfer.Collector()
         self.commit_moments = commit_moments.CommitMoments()
@@ -25,7 +25,7 @@
                 sender,
                 "append_say",
                 part=self.part,
-                who=self.who,
+                who=self.member_id,
                 term=self.log.term,
                 good=False,
                 match=0,
@@ -70,9 +70,9 @@
             return
         self.follow(body, sender)
         if body["index"] > self.commit:
-            snap = self.collector.take(body)
-            if snap is not None:
-                self.install(snap)
+            snapshot = self.collector.take(body)
+            if snapshot is not None:
+                self.install(snapshot)
         done = body["index"] <= self.commit
         self.send(
             body["who"],
@@ -83,9 +83,9 @@
             done=done,
         )
 
-    def install(self, snap: dict[str, typing.Any]) -> None:
+    def install(self, snapshot: dict[str, typing.Any]) -> None:
         """Takes a whole snapshot in the place of the log up to its index."""
-        self.log.put_snap(snap, snap["index"])
-        self.machine.restore(snap["state"])
-        self.commit = self.applied = snap["index"]
+        self.log.put_snapshot(snapshot, snapshot["index"])
+        self.machine.restore(snapshot["state"])
+        self.commit = self.applied = snapshot["index"]
         self.read_members()
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -47,7 +47,7 @@
         self.waiting = False  # whether a failed disk is being tried
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
-        self.who = incarnation(disk, settings["name"], chance)
+        self.member_id = incarnation(disk, settings["name"], chance)
         self.replicas = (
             listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.lease_goals())
             if speech
@@ -66,7 +66,7 @@
         self.new_environment, self.speech = new_environment, speech
         opened = [self.open_part(part) for part in range(constants.PARTS)]
         self.members = [member for member, _ in opened]
-        self.duties = [duty for _, duty in opened]
+        self.leader_tasks = [duty for _, duty in opened]
 
     def open_part(self, part: int) -> tuple[member_module.Member, Duty]:
         """This keeper's member of a part as its disk holds it, and what the member does when it leads."""
@@ -78,7 +78,7 @@
             self.new_environment(),
             self.disk,
             part,
-            self.who,
+            self.member_id,
             settings["http"],
             settings["first_keepers"],
             service_part.ServiceMachine() if part else config_machine.ConfigMachine(),
@@ -124,7 +124,7 @@
             if former.disk_lost:
                 member, duty = self.open_part(part)
                 former.environment.stop()
-                self.members[part], self.duties[part] = member, duty
+                self.members[part], self.leader_tasks[part] = member, duty
                 log_buffer.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
                 member.begin()
 
@@ -152,20 +152,20 @@
             self.in_part(member, member.leave)
         self.environment.sleep(2 * constants.HEART_BEAT)
         until = self.environment.now() + self.settings.get("drain_s", constants.LEAVE_WAIT)
-        while self.environment.now() < until and not all(member.released for member in self.members):
+        while self.environment.now() < until and not all(member.may_stop for member in self.members):
             self.environment.sleep(constants.HEART_BEAT)
         return not any(member.is_leader for member in self.members)
 
     def condition(self):
         parts = [m.condition() for m in self.members]
-        for row, duty, member in zip(parts, self.duties, self.members, strict=True):
+        for row, duty, member in zip(parts, self.leader_tasks, self.members, strict=True):
             row.update(duty.report())
-            for other in member.duties:
+            for other in member.leader_tasks:
                 if isinstance(other, permit_duty.PermitDuty):
                     row.update(other.report())
         return {
             "name": self.settings["name"],
-            "who": self.who,
+            "who": self.member_id,
             "parts": parts,
             "keepers": self.gossip.keepers(),
             "process": self.environment.figures(),
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -102,7 +102,7 @@
                 "latest": m.latest,
                 "document": rows.get(m.active),
                 "latest_document": rows.get(m.latest),
-                **self.keeper.duties[0].report(),
+                **self.keeper.leader_tasks[0].report(),
             }
 
         return self.read(environ, start, give)
--- a/mothshed/control_plane/leader_hint.py
+++ b/mothshed/control_plane/leader_hint.py
@@ -5,9 +5,9 @@
 
 def recent_leader(member):
     """The id of a leader other than this member that was heard of lately, or ""."""
-    if not member.leader or member.leader == member.who:
+    if not member.leader or member.leader == member.member_id:
         return ""
-    if member.environment.now() - member.heard >= constants.LEADER_FRESH:
+    if member.environment.now() - member.last_contact >= constants.LEADER_FRESH:
         return ""
     return member.leader
 
@@ -15,4 +15,4 @@
 def leader_address(member):
     """The address of that leader for records between processes, or ""."""
     leader = recent_leader(member)
-    return member.place_of(leader) if leader else ""
+    return member.address_of(leader) if leader else ""
--- a/mothshed/control_plane/list_duty.py
+++ b/mothshed/control_plane/list_duty.py
@@ -20,7 +20,7 @@
         self.rows, self.number, self.at = {}, 0, -1e9
         self.changes = collections.deque(maxlen=constants.LIST_CHANGES)  # (number, rows, gone)
         self.holders = {}  # address -> [number it has, when it asked]
-        member.duties.append(self)
+        member.leader_tasks.append(self)
         self.environment.subscribe("list_ask", self.on_ask, member.part)
 
     def start(self):
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -24,36 +24,47 @@
 
 
 class Member(election.Election, replication.Replication, following.Following, reconfiguration.Reconfiguration):
-    def __init__(self, environment, disk, part, who, http, first, machine, known=lambda: [], bounds=None):
-        self.environment, self.part, self.who, self.http = environment, part, who, http
+    def __init__(
+        self,
+        environment,
+        disk,
+        part,
+        member_id,
+        http,
+        initial_addresses,
+        machine,
+        known_addresses=lambda: [],
+        bounds=None,
+    ):
+        self.environment, self.part, self.member_id, self.http = environment, part, member_id, http
         self.address = environment.address
-        self.first = list(first)
-        self.known = known  # addresses of keepers from hints
+        self.initial_addresses = list(initial_addresses)
+        self.known_addresses = known_addresses  # addresses of keepers from hints
         self.machine = machine  # apply(index, command), dump(), restore(state)
         self.bounds = bounds or reconfiguration.Bounds()
         self.failed = lambda: None  # told once the disk has failed
         self.disk_lost = False  # whether this member stopped for that
-        self.duties = []  # start() when leader, stop() when not
+        self.leader_tasks = []  # start() when leader, stop() when not
         self.log = disk_log.PartLog(disk, part)
         self.chart = charts.load("member")
         self.leader = ""
         self.commit = self.applied = 0
-        self.where = {}  # id -> address heard of lately
-        self.waits = {}  # index -> (term, call)
-        self.heard = environment.now()  # also after a start: an old promise may still hold
-        self.handed = False  # whether this member stood because its leader named it
+        self.last_addresses = {}  # id -> address heard of lately
+        self.pending_proposals = {}  # index -> (term, call)
+        self.last_contact = environment.now()  # also after a start: an old promise may still hold
+        self.by_transfer = False  # whether this member stood because its leader named it
         self.membership = membership.Membership()
-        if self.log.snap:
-            machine.restore(self.log.snap["state"])
-            self.commit = self.applied = self.log.snap["index"]
-        self.start_election()
-        self.start_replication()
-        self.start_following()
-        self.start_reconfiguration()
+        if self.log.snapshot:
+            machine.restore(self.log.snapshot["state"])
+            self.commit = self.applied = self.log.snapshot["index"]
+        self.init_election()
+        self.reset_replication()
+        self.init_following()
+        self.init_reconfiguration()
         self.read_members()
         if self.members:
             self.chart.step("birth")
-            if self.who not in self.members:
+            if self.member_id not in self.members:
                 self.chart.step("learn")
 
     def begin(self):
@@ -111,14 +122,14 @@
             kept = set(self.targets())
             self.progress = {member: row for member, row in self.progress.items() if member in kept}
         if self.members and self.chart.state not in ("empty", "stopped"):
-            self.chart.step("admit" if self.who in self.members else "learn")
+            self.chart.step("admit" if self.member_id in self.members else "learn")
 
     def report_voters(self) -> None:
         """Say who votes from now on, as this member sees it."""
         log_buffer.report(
             "voters",
             part=self.part,
-            who=self.who,
+            who=self.member_id,
             voters=sorted(self.membership.voters),
             outgoing=sorted(self.membership.outgoing),
         )
@@ -128,20 +139,20 @@
         for body in reversed(self.log.entries):
             if body["i"] <= index and body["c"].get("op") == "members":
                 return membership.from_command(body["c"]), body["i"]
-        if self.log.snap:
-            return membership.from_command(self.log.snap["membership"]), self.log.snap["index"]
+        if self.log.snapshot:
+            return membership.from_command(self.log.snapshot["membership"]), self.log.snapshot["index"]
         return membership.Membership(), 0
 
-    def place_of(self, who):
-        if who in self.where:
-            return self.where[who]
-        return self.members.get(who, {}).get("address", "")
+    def address_of(self, member_id):
+        if member_id in self.last_addresses:
+            return self.last_addresses[member_id]
+        return self.members.get(member_id, {}).get("address", "")
 
-    def others(self):
-        return [m for m in self.members if m != self.who]
+    def other_members(self):
+        return [m for m in self.members if m != self.member_id]
 
-    def send(self, who, kind, **body):
-        self.environment.send(self.place_of(who), kind, part=self.part, who=self.who, **body)
+    def send(self, member_id, kind, **body):
+        self.environment.send(self.address_of(member_id), kind, part=self.part, who=self.member_id, **body)
 
     def propose(self, command, call=lambda result: None):
         """call(result) once committed and applied; call(None): not known, read back."""
@@ -149,7 +160,7 @@
             call(None)
             return
         index = self.log.last + 1
-        self.waits[index] = (self.log.term, call)
+        self.pending_proposals[index] = (self.log.term, call)
         try:
             self.log.put([{"i": index, "t": self.log.term, "c": command}])
         except disk_module.DiskFault as e:
@@ -158,7 +169,7 @@
         if command.get("op") == "members":
             self.read_members()
         self.count_commit()
-        self.spread()
+        self.replicate()
 
     def apply_all(self):
         while self.applied < self.commit:
@@ -167,12 +178,12 @@
             if not self.understands(body["c"]):
                 self.stop_for_newer_release(index, body["c"])
                 return
-            term, call = self.waits.pop(index, (None, None))
+            term, call = self.pending_proposals.pop(index, (None, None))
             result = self.machine.apply(index, body["c"])
             if call:
                 call(result if term == body["t"] else None)
         if self.snapshot_due():
-            self.snap()
+            self.take_snapshot()
 
     def understands(self, command: dict[str, typing.Any]) -> bool:
         """Whether this release can apply a command."""
@@ -186,31 +197,31 @@
 
     def snapshot_due(self):
         """Whether enough entries, or bytes of them, stand after the newest snapshot."""
-        since = self.applied - (self.log.snap["index"] if self.log.snap else 0)
+        since = self.applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
         return since >= constants.SNAP_EVERY or (since > 0 and self.log.bytes_since_snapshot > constants.SNAP_BYTES)
 
-    def snap(self):
-        snap = {
+    def take_snapshot(self):
+        snapshot = {
             "index": self.applied,
             "term": self.log.term_at(self.applied),
             "membership": self.membership_at(self.applied)[0].command(),
             "state": self.machine.dump(),
         }
         keep = max(self.log.base, self.applied - constants.KEEP_BEHIND)
-        self.log.put_snap(snap, keep)
+        self.log.put_snapshot(snapshot, keep)
 
     def not_committed_before(self, index: int) -> float | None:
         """The latest moment on this clock before which an entry surely was not committed; None if not known."""
         term = self.log.term_at(index)
         return None if term is None else self.commit_moments.not_committed_before(term, index)
 
-    def lose(self):
+    def lose_leadership(self):
         """No longer leader: waiting writes are unknown, waiting reads fail."""
-        waits, self.waits = self.waits, {}
-        for term, call in waits.values():
+        pending, self.pending_proposals = self.pending_proposals, {}
+        for term, call in pending.values():
             call(None)
-        self.fail_confirms()
-        for duty in self.duties:
+        self.fail_pending_reads()
+        for duty in self.leader_tasks:
             duty.stop()
 
     def stop(self):
@@ -219,7 +230,7 @@
         was = self.is_leader
         self.chart.step("stop")
         if was:
-            self.lose()
+            self.lose_leadership()
 
     def condition(self):
         return {
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -41,11 +41,11 @@
         self.standing, self.from_then = 0, 0.0
         self.busy = set()  # replicas with an order under way
         self.told = set()  # (replica, engine) that took an order under this standing
-        member.duties.append(self)
+        member.leader_tasks.append(self)
 
     def start(self):
         self.on, self.standing, self.split = True, 0, {}
-        self.member.propose({"op": "take", "who": self.member.who}, self.taken)
+        self.member.propose({"op": "take", "who": self.member.member_id}, self.taken)
 
     def taken(self, result):
         if result and self.on:
@@ -66,7 +66,7 @@
             and standing
             and standing == self.standing == self.machine.standing
             and self.environment.now() >= self.from_then
-            and self.member.sure()
+            and self.member.has_quorum()
         )
 
     def tick(self):
@@ -179,7 +179,7 @@
             if ready():
                 sequence = self.lease.current()[0]
                 good = self.order_role(
-                    self.environment, self.place(name, url), role, standing, self.member.who, sequence, ready
+                    self.environment, self.place(name, url), role, standing, self.member.member_id, sequence, ready
                 )
         except web.WebFault:
             pass
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -36,7 +36,7 @@
         self.sequence = 0  # of the document by which buckets were dropped last
         self.redirected: dict[str, tuple[float, int]] = {}  # address -> (when, mark): asked while no leader was known
         member.machine.leader_began = self.leader_began
-        member.duties.append(self)
+        member.leader_tasks.append(self)
         self.environment.subscribe("permit_ask", self.on_permit_ask, member.part)
 
     def leader_began(self) -> None:
@@ -72,8 +72,8 @@
 
     def on_permit_ask(self, sender: str, body: Body) -> None:
         """Grant what the buckets hold; tenants that the document in force here does not name get no answer yet."""
-        now = self.environment.now()  # read first: what is granted counts from a moment that sure() speaks for
-        if not (self.leading and self.member.sure()):
+        now = self.environment.now()  # read first: what is granted counts from a moment that has_quorum() speaks for
+        if not (self.leading and self.member.has_quorum()):
             leader = leader_hint.leader_address(self.member)
             if not leader:
                 self.note_redirected(sender, body["mark"], now)
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -38,11 +38,11 @@
 class Reconfiguration:
     """How a member joins and leaves, and how a leader changes the voters."""
 
-    def start_reconfiguration(self):
-        self.empties = {}  # address -> (time, id, http) of first members that said empty
+    def init_reconfiguration(self):
+        self.empty_members = {}  # address -> (time, id, http) of first members that said empty
         self.learners = {}  # id -> {"address", "http", "at"}
-        self.leavers = {}  # id -> when it last said that it leaves
-        self.leaving = self.released = False  # whether this member is to stop, and may
+        self.departing = {}  # id -> when it last said that it leaves
+        self.leaving = self.may_stop = False  # whether this member is to stop, and may
         self.asked_at = -1e9
 
     def keep_joining(self, now):
@@ -52,16 +52,20 @@
         if now - self.asked_at < constants.JOIN_BEAT or self.is_leader:
             return
         self.asked_at = now
-        if self.chart.state == "empty" and self.address in self.first:
-            for address in self.first:
+        if self.chart.state == "empty" and self.address in self.initial_addresses:
+            for address in self.initial_addresses:
                 self.environment.send(
-                    address, "born_ask", part=self.part, who=self.who, address=self.address, http=self.http
+                    address, "born_ask", part=self.part, who=self.member_id, address=self.address, http=self.http
                 )
-        if self.chart.state in ("empty", "learner") or now - self.heard > 2 * constants.ELECT_LOW:
-            goals = {m["address"] for m in self.members.values()} | set(self.first) | set(self.known())
+        if self.chart.state in ("empty", "learner") or now - self.last_contact > 2 * constants.ELECT_LOW:
+            goals = (
+                {m["address"] for m in self.members.values()}
+                | set(self.initial_addresses)
+                | set(self.known_addresses())
+            )
             for address in sorted(goals - {self.address}):
                 self.environment.send(
-                    address, "join_ask", part=self.part, who=self.who, address=self.address, http=self.http
+                    address, "join_ask", part=self.part, who=self.member_id, address=self.address, http=self.http
                 )
 
     def on_born_ask(self, sender, body):
@@ -70,45 +74,45 @@
             sender,
             "born_say",
             part=self.part,
-            who=self.who,
+            who=self.member_id,
             address=self.address,
             http=self.http,
-            empty=self.log.virgin,
+            empty=self.log.is_empty,
             members=first.get("members", {}),
         )
 
     def on_born_say(self, sender, body):
-        if not self.log.virgin:
+        if not self.log.is_empty:
             return
         if not body["empty"]:
-            if self.who in body["members"]:
-                self.birth(body["members"])
+            if self.member_id in body["members"]:
+                self.bootstrap(body["members"])
             return
         now = self.environment.now()
-        self.empties[body["address"]] = (now, body["who"], body["http"])
-        fresh = {a: e for a, e in self.empties.items() if now - e[0] < 2 * constants.JOIN_BEAT}
-        if set(self.first) <= set(fresh) and len(self.first) >= 1:
-            self.birth({fresh[a][1]: {"address": a, "http": fresh[a][2]} for a in sorted(self.first)})
+        self.empty_members[body["address"]] = (now, body["who"], body["http"])
+        fresh = {a: e for a, e in self.empty_members.items() if now - e[0] < 2 * constants.JOIN_BEAT}
+        if set(self.initial_addresses) <= set(fresh) and len(self.initial_addresses) >= 1:
+            self.bootstrap({fresh[a][1]: {"address": a, "http": fresh[a][2]} for a in sorted(self.initial_addresses)})
 
-    def birth(self, members):
+    def bootstrap(self, members):
         self.log.put([{"i": 1, "t": 0, "c": membership.Membership(members).command()}])
         if self.chart.state == "learner":
             self.read_members()
             return
         self.chart.step("birth")
         self.read_members()
-        self.heard = self.environment.now()
+        self.last_contact = self.environment.now()
 
     def on_join_ask(self, sender, body):
-        who = body["who"]
-        self.where[who] = body["address"]
+        member_id = body["who"]
+        self.last_addresses[member_id] = body["address"]
         if not self.is_leader:
             return
-        self.leavers.pop(who, None)
-        if who in self.members and self.members[who]["address"] == body["address"]:
+        self.departing.pop(member_id, None)
+        if member_id in self.members and self.members[member_id]["address"] == body["address"]:
             return
-        self.learners[who] = {"address": body["address"], "http": body["http"], "at": self.environment.now()}
-        self.spread()
+        self.learners[member_id] = {"address": body["address"], "http": body["http"], "at": self.environment.now()}
+        self.replicate()
 
     def change_members(self):
         """The leader's next step towards the voters that the group should have, if one is due."""
@@ -117,7 +121,7 @@
         if self.membership.joint:
             self.propose(self.membership.settled().command())
             return
-        if self.learners or self.leavers or len(self.members) > self.bounds.smallest:
+        if self.learners or self.departing or len(self.members) > self.bounds.smallest:
             wanted = membership.next_voters(self.view())
             if wanted is not None:
                 self.propose(self.membership.change_to(wanted).command())
@@ -125,34 +129,34 @@
     def view(self):
         """What this leader sees of its group now."""
         now = self.environment.now()
-        self.forget_the_gone(now)
+        self.forget_absent(now)
         return membership.GroupView(
-            leader=self.who,
+            leader=self.member_id,
             voters=self.membership.voters,
             learners=self.ready_learners(now),
-            silence={member: self.silence(member, now) for member in self.others()},
-            leaving=frozenset(self.leavers),
+            silence={member: self.silence(member, now) for member in self.other_members()},
+            leaving=frozenset(self.departing),
             smallest=self.bounds.smallest,
             present_within=constants.LEADER_QUIET,
             gone_after=self.bounds.gone_after,
         )
 
-    def forget_the_gone(self, now):
+    def forget_absent(self, now):
         """Drops learners that neither ask nor answer any more, and old words of leaving."""
-        for who, place in list(self.learners.items()):
-            settled = self.membership.voters.get(who, {}).get("address") == place["address"]
-            if settled or min(now - place["at"], self.silence(who, now)) > 4 * constants.JOIN_BEAT:
-                del self.learners[who]
-        self.leavers = {who: at for who, at in self.leavers.items() if now - at < constants.LEAVE_LIFE}
+        for member_id, place in list(self.learners.items()):
+            settled = self.membership.voters.get(member_id, {}).get("address") == place["address"]
+            if settled or min(now - place["at"], self.silence(member_id, now)) > 4 * constants.JOIN_BEAT:
+                del self.learners[member_id]
+        self.departing = {member_id: at for member_id, at in self.departing.items() if now - at < constants.LEAVE_LIFE}
 
     def ready_learners(self, now):
         """Places of the learners that answer and hold all that is committed."""
         found = {}
-        for who, place in self.learners.items():
-            progress = self.progress.get(who)
-            answers = progress and progress.answered and self.silence(who, now) < constants.LEADER_QUIET
+        for member_id, place in self.learners.items():
+            progress = self.progress.get(member_id)
+            answers = progress and progress.answered and self.silence(member_id, now) < constants.LEADER_QUIET
             if answers and progress.match >= self.commit:
-                found[who] = {"address": place["address"], "http": place["http"]}
+                found[member_id] = {"address": place["address"], "http": place["http"]}
         return found
 
     # --- a member that stops ---
@@ -162,33 +166,35 @@
         self.keep_leaving()
 
     def keep_leaving(self) -> None:
-        """The next step of leaving; again on every heartbeat until `released`."""
+        """The next step of leaving; again on every heartbeat until `may_stop`."""
         if self.is_leader:
-            self.hand_over()
-        elif self.who not in self.members:
-            self.released = True
-        elif self.leader and not self.released:
+            self.transfer_leadership()
+        elif self.member_id not in self.members:
+            self.may_stop = True
+        elif self.leader and not self.may_stop:
             self.send(self.leader, "leave")
 
     def on_leave(self, sender, body):
         if not self.is_leader:
             return
-        who = body["who"]
-        self.leavers[who] = self.environment.now()
-        self.learners.pop(who, None)
+        member_id = body["who"]
+        self.departing[member_id] = self.environment.now()
+        self.learners.pop(member_id, None)
         self.change_members()
-        waiting = who in self.members and (self.membership.joint or not self.knows_newcomers() or self.can_spare(who))
-        self.send(who, "leave_say", finished=not waiting)
+        waiting = member_id in self.members and (
+            self.membership.joint or not self.knows_newcomers() or self.can_spare(member_id)
+        )
+        self.send(member_id, "leave_say", finished=not waiting)
 
     def knows_newcomers(self) -> bool:
         """Whether this leader has led for long enough to have heard of every member that asks to join."""
-        return self.ready and self.environment.now() - self.won_at >= constants.JOIN_KNOWN
+        return self.ready and self.environment.now() - self.elected_at >= constants.JOIN_KNOWN
 
-    def can_spare(self, who):
+    def can_spare(self, member_id):
         """Whether a change that lets this voter go is to be expected."""
         newcomers = [learner for learner in self.learners if learner not in self.members]
         return bool(newcomers) or len(self.membership.voters) > self.bounds.smallest
 
     def on_leave_say(self, sender, body):
         if self.leaving and body["finished"]:
-            self.released = True
+            self.may_stop = True
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -3,7 +3,7 @@
 Every append carries a round number that members echo; a read or a lease answer
 waits until a majority has echoed a round sent after it was asked, which proves
 that this leader still was the leader then. An entry counts as held by a member
-only when that member has synced it. `sure_until` is how long this leader may act
+only when that member has synced it. `quorum_until` is how long this leader may act
 without asking again: no vote can be given before it is over. What is sent ahead is
 bounded per follower (progress.py); one whose entries are gone from the log here is
 sent the snapshot in pieces (snapshot_transfer.py).
@@ -17,41 +17,41 @@
 class Replication:
     """What a leader sends, what it counts as held, and for how long it is sure to lead."""
 
-    def start_replication(self):
+    def reset_replication(self):
         self.round, self.sent_at = 0, {}
         self.confirmed_round = 0  # the newest that a majority has echoed
         self.progress = {}  # member or learner id -> Progress
-        self.confirms = []
-        self.spread_at = -1.0
-        self.spread_due = None
-        self.sure_until = 0.0
+        self.pending_reads = []
+        self.replicated_at = -1.0
+        self.replicate_timer = None
+        self.quorum_until = 0.0
         self.ready = False
-        self.won_at = self.environment.now()
+        self.elected_at = self.environment.now()
         self.encoded = None  # the newest snapshot as text, while somebody needs it
 
     def targets(self):
-        return self.others() + [m for m in self.learners if m not in self.members]
+        return self.other_members() + [m for m in self.learners if m not in self.members]
 
     def progress_of(self, member):
         if member not in self.progress:
-            self.progress[member] = progress_module.Progress(self.log.last + 1, self.won_at)
+            self.progress[member] = progress_module.Progress(self.log.last + 1, self.elected_at)
         return self.progress[member]
 
-    def spread(self):
+    def replicate(self):
         """Sends what is missing to every member, at most once in a ROUND_GAP."""
-        gap = self.spread_at + constants.ROUND_GAP - self.environment.now()
+        gap = self.replicated_at + constants.ROUND_GAP - self.environment.now()
         if gap <= 0:
-            self.spread_now()
-        elif not self.spread_due:
-            self.spread_due = self.environment.call_later(gap, self.guard(self.spread_now))
+            self.replicate_now()
+        elif not self.replicate_timer:
+            self.replicate_timer = self.environment.call_later(gap, self.guard(self.replicate_now))
 
-    def spread_now(self):
-        self.spread_due = None
+    def replicate_now(self):
+        self.replicate_timer = None
         if not self.is_leader:
             return
-        self.spread_at = self.environment.now()
+        self.replicated_at = self.environment.now()
         self.round += 1
-        self.sent_at[self.round] = self.spread_at
+        self.sent_at[self.round] = self.replicated_at
         self.sent_at.pop(self.round - constants.ROUNDS_KEPT, None)
         for member in self.targets():
             self.send_append(member)
@@ -96,8 +96,8 @@
         """Starts the transfer of the newest snapshot, or goes on with the one under way."""
         now = self.environment.now()
         if progress.transfer is None:
-            if self.encoded is None or self.encoded.index != self.log.snap["index"]:
-                self.encoded = snapshot_transfer.Encoded(self.log.snap)
+            if self.encoded is None or self.encoded.index != self.log.snapshot["index"]:
+                self.encoded = snapshot_transfer.Encoded(self.log.snapshot)
             progress.transfer = snapshot_transfer.Transfer(self.encoded)
         if progress.transfer.due(now):
             self.send(member, "snap", term=self.log.term, **progress.transfer.piece(now))
@@ -113,7 +113,7 @@
             progress.installed(body["index"])
             self.encoded = None if not self.transfers() else self.encoded
             self.count_commit()
-            self.spread()
+            self.replicate()
             return
         progress.transfer.answered(body["index"], body["offset"])
         self.send_piece(body["who"], progress)
@@ -125,7 +125,7 @@
     def on_append_say(self, sender, body):
         if body["term"] > self.log.term:
             if body["who"] in self.members:
-                self.take_term(body["term"])
+                self.adopt_term(body["term"])
             return
         member = body["who"]
         if not self.is_leader or body["term"] != self.log.term or member not in self.targets():
@@ -138,33 +138,35 @@
             else:
                 progress.rejected(body["match"], body["round"], self.round)
         if progress.next <= self.log.last and progress.room() > 0:
-            self.spread()
+            self.replicate()
         self.count_rounds()
         self.count_commit()
         self.change_members()
 
     def count_commit(self):
         held = {member: progress.match for member, progress in self.progress.items()}
-        held[self.who] = self.log.last
+        held[self.member_id] = self.log.last
         index = self.membership.agreed(held)
         if index > self.commit and self.log.term_at(index) == self.log.term:
             self.commit = index
             self.apply_all()
             if self.is_leader:
                 self.change_members()
-                self.spread()
+                self.replicate()
 
     def count_rounds(self):
         if not self.is_leader:
             return
         seen = {member: progress.round for member, progress in self.progress.items()}
-        seen[self.who] = self.round
-        sure = self.membership.agreed(seen)
-        self.confirmed_round = max(self.confirmed_round, sure)
-        if sure in self.sent_at:
-            self.sure_until = max(self.sure_until, self.sent_at[sure] + constants.VOTE_HOLD - constants.LEASE_SLACK)
-        due = [c for c in self.confirms if c[0] <= sure]
-        self.confirms = [c for c in self.confirms if c[0] > sure]
+        seen[self.member_id] = self.round
+        confirmed = self.membership.agreed(seen)
+        self.confirmed_round = max(self.confirmed_round, confirmed)
+        if confirmed in self.sent_at:
+            self.quorum_until = max(
+                self.quorum_until, self.sent_at[confirmed] + constants.VOTE_HOLD - constants.LEASE_SLACK
+            )
+        due = [c for c in self.pending_reads if c[0] <= confirmed]
+        self.pending_reads = [c for c in self.pending_reads if c[0] > confirmed]
         for need, call in due:
             call(True)
 
@@ -173,26 +175,26 @@
         if not (self.is_leader and self.ready):
             call(False)
             return
-        self.confirms.append((self.round + 1, call))
-        self.spread()
+        self.pending_reads.append((self.round + 1, call))
+        self.replicate()
 
-    def fail_confirms(self):
-        due, self.confirms = self.confirms, []
+    def fail_pending_reads(self):
+        due, self.pending_reads = self.pending_reads, []
         for need, call in due:
             call(False)
 
-    def sure(self):
-        return self.is_leader and self.ready and self.environment.now() < self.sure_until
+    def has_quorum(self):
+        return self.is_leader and self.ready and self.environment.now() < self.quorum_until
 
     def silence(self, member, now):
         """Seconds since a member's last answer to this leader, counted from its election at least."""
         progress = self.progress.get(member)
-        return now - (progress.answered_at if progress else self.won_at)
+        return now - (progress.answered_at if progress else self.elected_at)
 
     def keep_leading(self, now):
-        present = [m for m in self.others() if self.silence(m, now) < constants.LEADER_QUIET]
-        if not self.membership.has_quorum([*present, self.who]):
-            self.step_back(True)
+        present = [m for m in self.other_members() if self.silence(m, now) < constants.LEADER_QUIET]
+        if not self.membership.has_quorum([*present, self.member_id]):
+            self.step_down(True)
             return
-        self.spread()
+        self.replicate()
         self.change_members()
--- a/mothshed/control_plane/snapshot_transfer.py
+++ b/mothshed/control_plane/snapshot_transfer.py
@@ -17,9 +17,9 @@
 class Encoded:
     """A snapshot as text, made once for all followers that need it."""
 
-    def __init__(self, snap: Fields) -> None:
-        self.index, self.term = snap["index"], snap["term"]
-        self.text = json.dumps(snap, separators=(",", ":"))
+    def __init__(self, snapshot: Fields) -> None:
+        self.index, self.term = snapshot["index"], snapshot["term"]
+        self.text = json.dumps(snapshot, separators=(",", ":"))
         self.checksum = zlib.crc32(self.text.encode())
 
 
--- a/mothshed/control_plane/usage_duty.py
+++ b/mothshed/control_plane/usage_duty.py
@@ -27,13 +27,13 @@
     def on_usage(self, sender, body):
         member = self.member
         if not member.is_leader:
-            fresh = member.leader and self.environment.now() - member.heard < constants.LEADER_FRESH
+            fresh = member.leader and self.environment.now() - member.last_contact < constants.LEADER_FRESH
             self.environment.send(
                 sender,
                 "look_elsewhere",
                 part=member.part,
                 mark=body["mark"],
-                leader=member.place_of(member.leader) if fresh else "",
+                leader=member.address_of(member.leader) if fresh else "",
             )
             return
         self.reports.take(sender, replica_load.from_wire(body["rows"]))
--- a/mothshed/storage/disk_log.py
+++ b/mothshed/storage/disk_log.py
@@ -47,7 +47,7 @@
         for number in numbers:
             self.read_segment(number, number == numbers[-1])
         if self.generation and not numbers:
-            self.disk.sync_names()  # a process killed in put_snap may not have come to it
+            self.disk.sync_names()  # a process killed in put_snapshot may not have come to it
         self.remove_others(names)
 
     def read_snapshot(self):
@@ -61,7 +61,7 @@
         header = log_format.decode_header(log_format.SnapshotHeader, lines[0])
         self.term, self.vote = header.term, header.vote
         self.base, self.base_term = header.base, header.base_term
-        self.snap = json.loads(lines[1])
+        self.snapshot = json.loads(lines[1])
         self.replay(lines[2:])
 
     def read_segment(self, number, is_last):
@@ -137,30 +137,30 @@
         self.segment_size += size
         self.bytes_since_snapshot += size
 
-    def put_snap(self, snap, keep):
+    def put_snapshot(self, snapshot, keep):
         """Begins a new generation with this snapshot, keeping entries above `keep` for members that lag.
 
         Entries that the snapshot covers are kept only up to KEEP_BEHIND_BYTES. If the
         log does not hold the snapshot's last entry, none of its entries is kept.
         """
-        index = snap["index"]
-        if index < self.base or (self.snap and index < self.snap["index"]):
+        index = snapshot["index"]
+        if index < self.base or (self.snapshot and index < self.snapshot["index"]):
             raise ValueError(f"{self.stem}: snapshot {index} is older than what the log stands on")
-        if self.term_at(index) == snap["term"]:
+        if self.term_at(index) == snapshot["term"]:
             base = self.bounded_base(index, max(keep, self.base))
             base_term = self.term_at(base)
             kept = self.entries[base - self.base :]
             sizes = self.sizes[base - self.base :]
         else:
-            base, base_term, kept, sizes = index, snap["term"], [], []
+            base, base_term, kept, sizes = index, snapshot["term"], [], []
         header = log_format.SnapshotHeader(self.generation + 1, self.term, self.vote, base, base_term)
-        rows = [log_format.encode_header(header), log_format.encode(snap)]
+        rows = [log_format.encode_header(header), log_format.encode(snapshot)]
         rows += [log_format.encode(entry) for entry in kept]
         with self.refusing_after_fault():
             self.disk.put(self.snapshot_name(header.generation), log_format.frame(rows))
             self.generation, self.segment, self.segment_size = header.generation, 0, 0
             self.bytes_since_snapshot = 0
-            self.snap, self.base, self.base_term = snap, base, base_term
+            self.snapshot, self.base, self.base_term = snapshot, base, base_term
             self.entries, self.sizes = kept, sizes
             self.remove_others(self.disk.names())
 
--- a/mothshed/storage/log_state.py
+++ b/mothshed/storage/log_state.py
@@ -17,12 +17,12 @@
         self.base, self.base_term = 0, 0  # index and term that the first entry follows
         self.entries: list[Entry] = []  # entries base+1 ...
         self.sizes: list[int] = []  # bytes of each entry as encoded
-        self.snap: dict[str, typing.Any] | None = None  # {"index", "term", "membership", "state"}
+        self.snapshot: dict[str, typing.Any] | None = None  # {"index", "term", "membership", "state"}
 
     @property
-    def virgin(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether nothing was ever written."""
-        return not (self.term or self.vote or self.entries or self.snap)
+        return not (self.term or self.vote or self.entries or self.snapshot)
 
     @property
     def last(self) -> int:
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -128,7 +128,9 @@
         for term, asked in self.leases:
             if term < seat.log.term:
                 left = asked + constants.LEASE_LONG - end
-                assert left <= 0, f"a lease of term {term} runs {left:.2f} s past the wait of the leader of {seat.who}"
+                assert left <= 0, (
+                    f"a lease of term {term} runs {left:.2f} s past the wait of the leader of {seat.member_id}"
+                )
 
     def check_commit_moments(self):
         """What a member takes for the earliest moment at which an entry was committed is no later than it was."""
@@ -141,14 +143,14 @@
             if moment is not None:
                 self.moments_proven += 1
                 late_s = moment - self.committed_at[index]
-                assert late_s <= 0, f"{seat.who} takes index {index} for committed {late_s:.2f} s after it was"
+                assert late_s <= 0, f"{seat.member_id} takes index {index} for committed {late_s:.2f} s after it was"
 
     def check(self):
         self.check_commit_moments()
         for name, seat in self.seats.items():
             if name not in self.down and seat.is_leader:
-                known = self.leaders.setdefault(seat.log.term, seat.who)
-                assert known == seat.who, f"two leaders of term {seat.log.term}: {known}, {seat.who}"
+                known = self.leaders.setdefault(seat.log.term, seat.member_id)
+                assert known == seat.member_id, f"two leaders of term {seat.log.term}: {known}, {seat.member_id}"
                 self.check_leases(seat)
 
     def whole(self):
--- a/tests/log_crashes.py
+++ b/tests/log_crashes.py
@@ -28,13 +28,13 @@
     ("put_term", (2, "b/1")),
     ("put", ([entry(3, 2, "other")],)),  # drops 3 and 4 of term 1
     ("put", ([entry(n, 2) for n in range(4, 9)],)),
-    ("put_snap", (snapshot(5, 2), 3)),
+    ("put_snapshot", (snapshot(5, 2), 3)),
     ("put", ([entry(9, 2)],)),
-    ("put_snap", (snapshot(7, 2), 5)),
-    ("put_snap", (snapshot(8, 2), 6)),
+    ("put_snapshot", (snapshot(7, 2), 5)),
+    ("put_snapshot", (snapshot(8, 2), 6)),
     ("put_term", (3, "")),
     ("put", ([entry(10, 3)],)),
-    ("put_snap", (snapshot(20, 3), 20)),  # another member's: nothing of the log is kept
+    ("put_snapshot", (snapshot(20, 3), 20)),  # another member's: nothing of the log is kept
     ("put", ([entry(21, 3)],)),
 ]
 
@@ -48,7 +48,7 @@
     return {
         "term": (log.term, log.vote),
         "base": (log.base, log.base_term),
-        "snap": log.snap,
+        "snap": log.snapshot,
         "entries": list(log.entries),
     }
 
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -40,13 +40,13 @@
 
     def __init__(self):
         self.machine = config_machine.ConfigMachine()
-        self.who, self.leader, self.heard, self.time = "A/1", "A/1", 0.0, 100.0
+        self.member_id, self.leader, self.last_contact, self.time = "A/1", "A/1", 0.0, 100.0
         self.members = {w: {"address": f"{w}:1", "http": f"{w[0]}:80"} for w in ("A/1", "B/1", "C/1")}
         self.environment = types.SimpleNamespace(now=lambda: self.time, post=self.post)
         self.is_leader, self.confirmed, self.mailbox_stuck, self.commits = True, True, False, "at once"
         self.mailbox, self.proposed, self.waiting, self.events = [], [], [], []
 
-    def sure(self):
+    def has_quorum(self):
         return self.is_leader and self.confirmed
 
     def post(self, call):
@@ -78,7 +78,7 @@
 
 def keeper(member):
     return types.SimpleNamespace(
-        members=[member], duties=[], environment=types.SimpleNamespace(new_event=member.new_event), in_part=None
+        members=[member], leader_tasks=[], environment=types.SimpleNamespace(new_event=member.new_event), in_part=None
     )
 
 
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -11,29 +11,29 @@
 
     def __init__(self, tenure):
         self.pool = all_orders.Pool()
-        self.seats = {who: Seat(self, who) for who in "ABC"}
-        self.duties = {}
-        for who, seat in self.seats.items():
-            self.duties[who] = orders.OrderDuty(seat, None, Lease(), None)
-            self.duties[who].tenure = tenure
+        self.seats = {member_id: Seat(self, member_id) for member_id in "ABC"}
+        self.leader_tasks = {}
+        for member_id, seat in self.seats.items():
+            self.leader_tasks[member_id] = orders.OrderDuty(seat, None, Lease(), None)
+            self.leader_tasks[member_id].tenure = tenure
         self.log, self.leader, self.frozen = [], None, {}
         self.arrived = []  # (time, who, fence)
 
-    def lead(self, who):
+    def lead(self, member_id):
         """An election: no vote is given before the last leader's sure time has run out."""
-        if who in self.frozen or any(seat.sure() for w, seat in self.seats.items() if w != who):
+        if member_id in self.frozen or any(seat.has_quorum() for w, seat in self.seats.items() if w != member_id):
             return
-        self.leader = who
-        self.seats[who].renew()
-        self.duties[who].start()
+        self.leader = member_id
+        self.seats[member_id].renew()
+        self.leader_tasks[member_id].start()
 
-    def freeze(self, who):
-        self.frozen.setdefault(who, self.pool.time)
+    def freeze(self, member_id):
+        self.frozen.setdefault(member_id, self.pool.time)
 
     def commit(self, command):
         self.log.append(command)
         for seat in self.seats.values():
-            if seat.who not in self.frozen:
+            if seat.member_id not in self.frozen:
                 seat.catch_up()
 
 
@@ -54,17 +54,17 @@
 class Seat:
     """A member as the duty sees it."""
 
-    def __init__(self, group, who):
-        self.group, self.who, self.part = group, who, 1
-        self.environment = all_orders.ManualEnvironment(group.pool, who)
+    def __init__(self, group, member_id):
+        self.group, self.member_id, self.part = group, member_id, 1
+        self.environment = all_orders.ManualEnvironment(group.pool, member_id)
         self.machine, self.applied = service_part.ServiceMachine(), 0
-        self.duties, self.sure_until = [], 0.0
+        self.leader_tasks, self.quorum_until = [], 0.0
 
     def renew(self):
-        self.sure_until = self.environment.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
+        self.quorum_until = self.environment.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
 
-    def sure(self):
-        return self.environment.now() < self.sure_until
+    def has_quorum(self):
+        return self.environment.now() < self.quorum_until
 
     def catch_up(self):
         for command in self.group.log[self.applied :]:
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -37,14 +37,14 @@
 
     def __init__(self, pool, address):
         self.environment = Environment(pool, address)
-        self.who, self.leader, self.heard, self.leads = address, "", 0.0, False
-        self.machine, self.duties = types.SimpleNamespace(leader_began=None), []
+        self.member_id, self.leader, self.last_contact, self.leads = address, "", 0.0, False
+        self.machine, self.leader_tasks = types.SimpleNamespace(leader_began=None), []
 
-    def sure(self):
+    def has_quorum(self):
         return self.leads
 
-    def place_of(self, who):
-        return who
+    def address_of(self, member_id):
+        return member_id
 
 
 class LosingPool(all_orders.Pool):
@@ -77,7 +77,7 @@
         self.granted = []  # moments
         self.seen = set()
         self.seats = {address: Seat(self.pool, address) for address in KEEPERS}
-        self.duties = {address: self.duty(seat) for address, seat in self.seats.items()}
+        self.leader_tasks = {address: self.duty(seat) for address, seat in self.seats.items()}
         self.boot_router()
         self.lead(KEEPERS[0])
         self.pool.time += 100.0  # its bucket is full
@@ -108,8 +108,8 @@
 
     def lead(self, address):
         for other, seat in self.seats.items():
-            seat.leads, seat.leader, seat.heard = other == address, address, self.pool.time + 1000.0
-            (self.duties[other].start if other == address else self.duties[other].stop)()
+            seat.leads, seat.leader, seat.last_contact = other == address, address, self.pool.time + 1000.0
+            (self.leader_tasks[other].start if other == address else self.leader_tasks[other].stop)()
 
     # --- what may happen ---
     def request(self):
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -69,7 +69,7 @@
     duty_bounds = BOUNDS
 
     def __init__(self, size, losses, number):
-        self.grants, self.credits, self.duties = [], [], {}
+        self.grants, self.credits, self.leader_tasks = [], [], {}
         self.cut, self.frozen = set(), set()
         self.draw = random.Random(number)
         super().__init__(size, losses)
@@ -78,7 +78,7 @@
         super().boot(name)
         duty = self.duty_class(self.seats[name], Lease(), journal_module.Journal(), self.duty_bounds)
         duty.group = self
-        self.duties[name] = duty
+        self.leader_tasks[name] = duty
 
     def settle(self, span):
         """Let time pass, step by step: all that runs works, and all that is not held up is delivered."""
@@ -111,7 +111,7 @@
     def ask(self, name):
         """A router asks one member."""
         body = {"mark": 1, "sequence": 1, "counts": {"a": ASKED}}
-        self.duties[name].on_permit_ask(ROUTER, body)
+        self.leader_tasks[name].on_permit_ask(ROUTER, body)
 
     def freeze_inside_ask(self, name, span):
         """A member is stopped just after it has found that it leads for sure; the others go on."""
@@ -119,11 +119,11 @@
         if self.down | self.frozen or not seat.is_leader:
             return
         self.ask(name)
-        sure = type(seat).sure
+        has_quorum = type(seat).has_quorum
 
-        def sure_then_stop():
-            found = sure(seat)
-            del seat.sure
+        def quorum_then_stop():
+            found = has_quorum(seat)
+            del seat.has_quorum
             if found:
                 self.frozen.add(name)
                 for _ in range(round(span / 0.5)):
@@ -132,9 +132,9 @@
                 self.frozen.discard(name)
             return found
 
-        seat.sure = sure_then_stop
+        seat.has_quorum = quorum_then_stop
         self.ask(name)
-        seat.__dict__.pop("sure", None)
+        seat.__dict__.pop("has_quorum", None)
 
     def trouble(self):
         """One drawn event."""
@@ -153,7 +153,7 @@
         elif event == "boot" and self.down:
             self.boot(min(self.down))
         elif event == "hand_over" and name not in self.down | self.frozen:
-            self.seats[name].hand_over()
+            self.seats[name].transfer_leadership()
         elif event == "write":
             for _ in range(6):
                 self.propose(name)
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -94,8 +94,8 @@
     """The duty's leader, always sure: commits at once."""
 
     def __init__(self, environment):
-        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
-        self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
+        self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
+        self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
     def confirm(self, call):
         call(True)
@@ -141,9 +141,9 @@
     )
     duty = config_part.ConfigDuty(seat)
     seat.begin()
-    seat.birth({"A/1": {"address": "a:1", "http": ""}})
+    seat.bootstrap({"A/1": {"address": "a:1", "http": ""}})
     pool.time += 10
-    seat.stand(trial=True)
+    seat.start_election(pre_vote=True)
     assert seat.is_leader and seat.ready
     pool.time += constants.LEASE_LONG + constants.LEASE_SLACK + 0.01
     said = []
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -64,10 +64,10 @@
     for n in range(1, 20):
         one.put([entry(n)])
     one.put([entry(15, term=2, text="y")])  # an overwritten tail
-    one.put_snap({"index": 12, "term": 1, "members": {"a": {}}, "state": [1]}, 10)
+    one.put_snapshot({"index": 12, "term": 1, "members": {"a": {}}, "state": [1]}, 10)
     one.put([entry(16, term=2)])
     two = log(tmp_path)
-    assert (two.base, two.last, two.term_at(15), two.snap["state"]) == (10, 16, 2, [1])
+    assert (two.base, two.last, two.term_at(15), two.snapshot["state"]) == (10, 16, 2, [1])
     assert [e["i"] for e in two.entries] == list(range(11, 17))
     assert len(list(tmp_path.glob("part-1-snap-*"))) == 1
 
@@ -81,18 +81,18 @@
 
     monkeypatch.setattr(one.disk.files, "rename", fail)
     with pytest.raises(disk.DiskFault):
-        one.put_snap({"index": 6, "term": 1, "members": {}, "state": []}, 4)
+        one.put_snapshot({"index": 6, "term": 1, "members": {}, "state": []}, 4)
     two = log(tmp_path)
-    assert two.last == 8 and two.snap is None and [e["i"] for e in two.entries] == list(range(1, 9))
-    two.put_snap({"index": 6, "term": 1, "members": {}, "state": []}, 4)
+    assert two.last == 8 and two.snapshot is None and [e["i"] for e in two.entries] == list(range(1, 9))
+    two.put_snapshot({"index": 6, "term": 1, "members": {}, "state": []}, 4)
     three = log(tmp_path)
-    assert three.last == 8 and three.snap["index"] == 6 and [e["i"] for e in three.entries] == [5, 6, 7, 8]
+    assert three.last == 8 and three.snapshot["index"] == 6 and [e["i"] for e in three.entries] == [5, 6, 7, 8]
 
 
 def test_entries_of_another_history_than_the_snapshot_are_dropped(tmp_path):
     one = log(tmp_path)
     one.put([entry(n) for n in range(1, 9)])
-    one.put_snap({"index": 6, "term": 2, "members": {}, "state": []}, 6)
+    one.put_snapshot({"index": 6, "term": 2, "members": {}, "state": []}, 6)
     for each in (one, log(tmp_path)):
         assert (each.base, each.base_term, each.last, each.last_term) == (6, 2, 6, 2)
 
@@ -104,10 +104,10 @@
         with pytest.raises(ValueError):
             one.put(entries)
     one.put([entry(2), entry(3)])
-    one.put_snap({"index": 3, "term": 1, "members": {}, "state": []}, 1)
+    one.put_snapshot({"index": 3, "term": 1, "members": {}, "state": []}, 1)
     with pytest.raises(ValueError):
-        one.put_snap({"index": 2, "term": 1, "members": {}, "state": []}, 1)
-    assert (log(tmp_path).last, log(tmp_path).snap["index"]) == (3, 3)
+        one.put_snapshot({"index": 2, "term": 1, "members": {}, "state": []}, 1)
+    assert (log(tmp_path).last, log(tmp_path).snapshot["index"]) == (3, 3)
 
 
 def test_a_file_whose_write_failed_takes_no_append_until_replaced(tmp_path, monkeypatch):
--- a/tests/test_disk_bounds.py
+++ b/tests/test_disk_bounds.py
@@ -21,7 +21,7 @@
     size = one.entry_bytes(2)
     assert one.size_of(1) == sum(one.entry_bytes(n) for n in range(1, 11))
     monkeypatch.setattr(constants, "KEEP_BEHIND_BYTES", 3 * size)
-    one.put_snap({"index": 8, "term": 1, "members": {}, "state": []}, 2)
+    one.put_snapshot({"index": 8, "term": 1, "members": {}, "state": []}, 2)
     for each in (one, log(tmp_path)):
         assert [e["i"] for e in each.entries] == [6, 7, 8, 9, 10]
         assert each.size_of(9) == each.entry_bytes(9) + each.entry_bytes(10)
@@ -33,7 +33,7 @@
     one = log(tmp_path)
     for n in range(1, 9):
         one.put([entry(n)])
-    one.put_snap({"index": 8, "term": 1, "members": {}, "state": []}, 8)
+    one.put_snapshot({"index": 8, "term": 1, "members": {}, "state": []}, 8)
     assert one.bytes_since_snapshot == 0
     for n in range(9, 20):
         one.put([entry(n)])
@@ -69,7 +69,7 @@
             peaks.append(0)
         part.put([entry(n)])
         if part.bytes_since_snapshot > constants.SNAP_BYTES:
-            part.put_snap(log_crashes.snapshot(n), part.base)
+            part.put_snapshot(log_crashes.snapshot(n), part.base)
     snapshot_file = constants.KEEP_BEHIND_BYTES + 1000
     most = 2 * snapshot_file + constants.SNAP_BYTES + constants.SEGMENT_BYTES
     assert max(peaks) < most and max(peaks[1:-1]) < 1.05 * min(peaks[1:-1])
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -58,7 +58,7 @@
         for method, args in [
             ("put", ([log_crashes.entry(index, 9)],)),
             ("put_term", (9, "c/1")),
-            ("put_snap", (log_crashes.snapshot(index, 9), index)),
+            ("put_snapshot", (log_crashes.snapshot(index, 9), index)),
         ]:
             with pytest.raises(disk_module.DiskFault):
                 getattr(stop.log, method)(*args)
--- a/tests/test_disk_damage.py
+++ b/tests/test_disk_damage.py
@@ -77,7 +77,7 @@
     folder = volatile_folder.VolatileFolder()
     log = log_crashes.open_log(folder)
     log.put([log_crashes.entry(1), log_crashes.entry(2)])
-    log.put_snap(log_crashes.snapshot(2), 1)
+    log.put_snapshot(log_crashes.snapshot(2), 1)
     for n in range(3, 12):
         log.put_term(n, "a/1")
         log.put([log_crashes.entry(n, n)])
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -66,7 +66,7 @@
     f = simulate_fleet.SimFleet(f"full-{part}")
     f.ready()
     name = f.leader(part)
-    one, who = f.parts[name], f.parts[name].who
+    one, member_id = f.parts[name], f.parts[name].member_id
     f.disks[name].full = True
     f.operator(lambda: f.apply("while-full"))
     f.run(3)
@@ -75,5 +75,5 @@
     f.disks[name].full = False
     f.run(5)
     assert f.parts[name] is one and one.condition()["serving"]
-    assert [member.who for member in one.members] == [who] * constants.PARTS
+    assert [member.member_id for member in one.members] == [member_id] * constants.PARTS
     assert {m.machine.latest for m in (f.parts[n].members[0] for n in f.names("keep"))} == {len(f.writes)}
--- a/tests/test_disk_protections.py
+++ b/tests/test_disk_protections.py
@@ -49,10 +49,10 @@
         self.take_entry(entry, 1)
 
 
-def put_snap_removing_first(self, snap, keep, put_snap=disk_log.PartLog.put_snap):
-    """PartLog.put_snap that makes room before it writes."""
+def put_snapshot_removing_first(self, snapshot, keep, put_snapshot=disk_log.PartLog.put_snapshot):
+    """PartLog.put_snapshot that makes room before it writes."""
     self.disk.remove([name for name in self.disk.names()])
-    put_snap(self, snap, keep)
+    put_snapshot(self, snapshot, keep)
 
 
 PROTECTIONS = {
@@ -62,7 +62,7 @@
     "an append is synced": (disk_module.Disk, {"sync": lambda self, name: None}),
     "names are synced at opening": (disk_module.Disk, {"sync_names": lambda self: None}),
     "the entries of one put are one frame": (disk_log.PartLog, {"put": put_one_by_one}),
-    "old files are removed last": (disk_log.PartLog, {"put_snap": put_snap_removing_first}),
+    "old files are removed last": (disk_log.PartLog, {"put_snapshot": put_snapshot_removing_first}),
 }
 
 
--- a/tests/test_disk_walks.py
+++ b/tests/test_disk_walks.py
@@ -112,19 +112,19 @@
         self.write("put_term", (self.log.term + 1, vote), at, fault, self.random)
 
     @stateful.rule(below=strategies.integers(0, 3), behind=strategies.integers(0, 3), at=STEPS, fault=faults)
-    def put_snap(self, below, behind, at, fault):
+    def put_snapshot(self, below, behind, at, fault):
         index = max(self.log.base, self.log.last - below)
-        if index == 0 or (self.log.snap and index < self.log.snap["index"]):
+        if index == 0 or (self.log.snapshot and index < self.log.snapshot["index"]):
             return
         snap = log_crashes.snapshot(index, self.log.term_at(index))
-        self.write("put_snap", (snap, index - behind), at, fault, self.random)
+        self.write("put_snapshot", (snap, index - behind), at, fault, self.random)
 
     @stateful.rule(ahead=strategies.integers(0, 3), at=STEPS, fault=faults)
     def put_snap_of_another(self, ahead, at, fault):
         index = self.log.last + ahead
         if index:
             snap = log_crashes.snapshot(index, self.log.term + 1)
-            self.write("put_snap", (snap, index), at, fault, self.random)
+            self.write("put_snapshot", (snap, index), at, fault, self.random)
 
     # --- the process or the power goes between writes -------------------------
     @stateful.initialize(random=chances)
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -27,11 +27,11 @@
     return next(n for n, seat in group.seats.items() if n not in group.down and seat.is_leader and seat.ready)
 
 
-def hand_over(group):
+def transfer_leadership(group):
     """Leases are asked of a leader, which then names its successor; they run on."""
     former = leader_of(group)
     settle(group, 0.3)
-    group.seats[former].hand_over()
+    group.seats[former].transfer_leadership()
     settle(group, 0.3)
     return group.seats[former]
 
@@ -53,21 +53,21 @@
     leader, granted = one_loss(size, lost)
     end = leader.former_leases_end(constants.LEASE_LONG)
     assert granted + constants.LEASE_LONG <= end
-    assert end - leader.won_at < constants.LEASE_LONG - 0.5  # the votes' hold is not waited for twice
+    assert end - leader.elected_at < constants.LEASE_LONG - 0.5  # the votes' hold is not waited for twice
 
 
 def test_after_a_hand_over_the_whole_lease_is_waited_for():
     group = group_model.Group(3, 1)
     group.rest()
-    former = hand_over(group)
+    former = transfer_leadership(group)
     successor = group.seats[leader_of(group)]
-    assert successor.who != former.who and successor.handed
-    assert successor.former_leases_end(constants.LEASE_LONG) >= successor.won_at + constants.LEASE_LONG
+    assert successor.member_id != former.member_id and successor.by_transfer
+    assert successor.former_leases_end(constants.LEASE_LONG) >= successor.elected_at + constants.LEASE_LONG
 
 
 def wait_without(held):
     """A wait for former leases from which this many seconds are taken off, however the leader was elected."""
-    return lambda self, lease_s: self.won_at + lease_s - held + constants.LEASE_SLACK
+    return lambda self, lease_s: self.elected_at + lease_s - held + constants.LEASE_SLACK
 
 
 def test_the_check_finds_a_wait_that_is_as_short_after_a_hand_over(monkeypatch):
@@ -75,7 +75,7 @@
     group = group_model.Group(3, 1)
     group.rest()
     with pytest.raises(AssertionError, match="^a lease of term"):
-        hand_over(group)
+        transfer_leadership(group)
 
 
 @pytest.mark.parametrize("size", [3, 5])
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -84,7 +84,7 @@
 
     @stateful.rule(pick=strategies.integers(0, 9))
     def a_leader_names_a_successor(self, pick):
-        self.group.seats[self.name(pick)].hand_over()
+        self.group.seats[self.name(pick)].transfer_leadership()
 
     @stateful.rule(pick=strategies.integers(0, 9), back=strategies.booleans())
     def crash(self, pick, back):
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -24,9 +24,9 @@
     """A member that is always the confirmed leader and commits at once."""
 
     def __init__(self, environment):
-        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
-        self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
-        self.leader, self.heard = self.who, 0.0
+        self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
+        self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
+        self.leader, self.last_contact = self.member_id, 0.0
         self.held_back = []  # confirmations, while they are held back
         self.hold = False
 
--- a/tests/test_leave_in_doubt.py
+++ b/tests/test_leave_in_doubt.py
@@ -22,7 +22,7 @@
     leader = leader_of(group)
     leaver = next(seat for seat in group.seats.values() if not seat.is_leader)
     group.pool.waiting.clear()
-    leader.on_leave(leaver.address, {"who": leaver.who})
+    leader.on_leave(leaver.address, {"who": leaver.member_id})
     return [body["finished"] for _goal, _sender, kind, body in group.pool.waiting if kind == "leave_say"]
 
 
@@ -40,9 +40,9 @@
 def test_a_leader_just_elected_waits_until_newcomers_have_asked_it(group):
     """A newcomer asks to join every JOIN_BEAT: before that, a leader without learners knows nothing."""
     leader = leader_of(group)
-    leader.won_at = group.pool.time - constants.JOIN_BEAT / 2
+    leader.elected_at = group.pool.time - constants.JOIN_BEAT / 2
     assert asked_to_leave(group) == [False]
-    leader.won_at = group.pool.time - constants.JOIN_KNOWN
+    leader.elected_at = group.pool.time - constants.JOIN_KNOWN
     assert asked_to_leave(group) == [True]
 
 
--- a/tests/test_operate_keys.py
+++ b/tests/test_operate_keys.py
@@ -24,7 +24,7 @@
     """A keeper that the commands ask, and what its front was sent; its newest document is of sequence 1."""
     member = operators.Member()
     parts = operators.keeper(member)
-    parts.duties = [types.SimpleNamespace(report=dict)]
+    parts.leader_tasks = [types.SimpleNamespace(report=dict)]
     front, sent = keeper_front.KeeperFront(parts), []
 
     def any_of(_keepers, method, path, body=None):
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -121,7 +121,7 @@
 )
 def test_a_follower_names_only_a_leader_heard_of_lately(age, status):
     member = operators.Member()
-    member.is_leader, member.leader, member.heard = False, "B/1", member.time - age
+    member.is_leader, member.leader, member.last_contact = False, "B/1", member.time - age
     for name in CALLS:
         said, headers = CALLS[name](member)
         assert said == status and ("location" in headers) == (status == 307)
@@ -129,7 +129,7 @@
 
 def test_a_member_that_was_leader_names_nobody_until_it_hears_of_one():
     member = operators.Member()
-    member.is_leader, member.heard = False, member.time
+    member.is_leader, member.last_contact = False, member.time
     for leader in ("A/1", "", "gone/1"):
         member.leader = leader
         assert operators.put(member, 0, 5)[0] == 503 and operators.get(member)[0] == 503
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -16,7 +16,7 @@
     group.lead("A")
     group.pool.time += 3.3
     group.seats["A"].renew()
-    duty = group.duties["A"]
+    duty = group.leader_tasks["A"]
 
     def order_role(environment, place, role, standing, holder, sequence, ready):
         change(group)
@@ -40,7 +40,7 @@
 
 
 def agree(group, role):
-    group.commit({"op": "roles", "standing": group.duties["A"].standing, "roles": {"r-1": role}, "gone": []})
+    group.commit({"op": "roles", "standing": group.leader_tasks["A"].standing, "roles": {"r-1": role}, "gone": []})
 
 
 def wait(span):
@@ -70,14 +70,14 @@
         (wait(20.0), False),
         (led_by("B"), False),
         (led_by("B", "C"), False),
-        (lambda group: group.duties["A"].stop(), False),
-        (lambda group: group.duties["A"].lease.change(), True),
-        (lambda group: group.duties["A"].lease.change(other={"selector": {"service": "other"}}), True),
-        (lambda group: group.duties["A"].lease.change(main={"selector": {"service": "other"}}), False),
-        (lambda group: group.duties["A"].lease.pools.clear(), False),
-        (lambda group: setattr(group.duties["A"].lease, "number", None), False),
+        (lambda group: group.leader_tasks["A"].stop(), False),
+        (lambda group: group.leader_tasks["A"].lease.change(), True),
+        (lambda group: group.leader_tasks["A"].lease.change(other={"selector": {"service": "other"}}), True),
+        (lambda group: group.leader_tasks["A"].lease.change(main={"selector": {"service": "other"}}), False),
+        (lambda group: group.leader_tasks["A"].lease.pools.clear(), False),
+        (lambda group: setattr(group.leader_tasks["A"].lease, "number", None), False),
         (lambda group: agree(group, "prefill"), False),
-        (lambda group: group.duties["A"].replicas.rows.clear(), False),
+        (lambda group: group.leader_tasks["A"].replicas.rows.clear(), False),
     ],
     ids=[
         "at once",
@@ -123,7 +123,7 @@
     group.lead("A")
     group.pool.time += 3.3
     group.seats["A"].renew()
-    duty = group.duties["A"]
+    duty = group.leader_tasks["A"]
     duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
     duty.shared_usage = types.SimpleNamespace(shifting={})
--- a/tests/test_order_turns.py
+++ b/tests/test_order_turns.py
@@ -15,14 +15,14 @@
 class Sender:
     """One send of an order, taken step by step: first check, connection, last check and write."""
 
-    def __init__(self, group, who):
-        self.group, self.who, self.duty = group, who, group.duties[who]
+    def __init__(self, group, member_id):
+        self.group, self.member_id, self.duty = group, member_id, group.leader_tasks[member_id]
         self.standing = self.duty.standing
         self.passed = bool(self.duty.may(self.standing))
 
     def write(self):
         if self.passed and self.duty.may(self.standing):
-            self.group.arrived.append((self.group.pool.time, self.who, self.standing))
+            self.group.arrived.append((self.group.pool.time, self.member_id, self.standing))
 
 
 ACTS = ["take over", "take over", "order", "order", "wait", "wait", "wait", "send", "write", "freeze", "thaw"]
@@ -40,11 +40,11 @@
 def test_turns_are_a_tenure_apart_and_fences_only_rise(tenure, acts):
     """All that are awake try whatever an act says, so that most walks have several holders."""
     group, sends = order_group.Group(tenure), []
-    for act, who, turn in acts:
+    for act, member_id, turn in acts:
         awake = [name for name in "ABC" if name not in group.frozen]
         if act == "take over":
             group.pool.time += constants.VOTE_HOLD
-            group.lead(who)
+            group.lead(member_id)
         elif act == "freeze" and group.leader:
             group.freeze(group.leader)
         elif act == "thaw":
@@ -55,14 +55,14 @@
         elif act == "send":
             sends += [Sender(group, name) for name in awake]
         elif act == "write":
-            for send in [s for s in sends if s.who in awake]:
+            for send in [s for s in sends if s.member_id in awake]:
                 sends.remove(send)
                 send.write()
         elif act == "wait":
             order_group.wait_a_while(group, (0.1, 1.0, tenure + constants.TURN_MARGIN + 0.01, 20.0)[turn])
-    for (at, who, fence), (later, other, higher) in itertools.pairwise(group.arrived):
-        assert higher > fence or (higher == fence and who == other)
-        assert who == other or later - at >= tenure
+    for (at, member_id, fence), (later, other, higher) in itertools.pairwise(group.arrived):
+        assert higher > fence or (higher == fence and member_id == other)
+        assert member_id == other or later - at >= tenure
 
 
 @pytest.mark.parametrize("tenure, gap", [(None, constants.TURN_GAP), (1.0, 1.2), (3.0, 3.2), (12.0, 12.2)])
@@ -72,4 +72,4 @@
     for span, may in ((gap - 0.01, False), (0.02, True)):
         group.pool.time += span
         group.seats["A"].renew()
-        assert bool(group.duties["A"].may(1)) == may
+        assert bool(group.leader_tasks["A"].may(1)) == may
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -48,14 +48,14 @@
     assert len(leaders) == len(set(leaders))
 
 
-@pytest.mark.parametrize("pair, trial", [("AB", False), ("AC", True)])
-def test_two_candidates_never_both_win_one_term(pair, trial):
+@pytest.mark.parametrize("pair, pre_vote", [("AB", False), ("AC", True)])
+def test_two_candidates_never_both_win_one_term(pair, pre_vote):
     def make():
         pool = all_orders.Pool()
         seats = group(pool, {})
         pool.time += 10
         for name in pair:
-            seats[name].stand(trial=trial)
+            seats[name].start_election(pre_vote=pre_vote)
         return pool, seats
 
     assert all_orders.explore(make, one_owner_a_term, 6) > 500
@@ -68,7 +68,7 @@
         seats = group(pool, {}, names)
         pool.time += 10
         for seat in seats.values():
-            seat.stand(trial=True)
+            seat.start_election(pre_vote=True)
         return pool, seats
 
     def end(seats):
@@ -87,9 +87,9 @@
         seats = group(pool, {"A": [(2, 1, {"op": "note"})]}, "BC", "12")
         pool.time += 10
         seats["C"].keep_joining(pool.time)
-        seats["B"].stand(trial=True)
+        seats["B"].start_election(pre_vote=True)
         pool.time += 10
-        seats["B"].stand(trial=False)
+        seats["B"].start_election(pre_vote=False)
         seats["C"].keep_joining(pool.time)
         return pool, seats
 
@@ -139,8 +139,8 @@
     """The duty's leader, always sure: commits at once unless told to hold."""
 
     def __init__(self, environment):
-        self.environment, self.machine, self.duties = environment, config_machine.ConfigMachine(), []
-        self.is_leader, self.who, self.log = True, "A/1", types.SimpleNamespace(term=1)
+        self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
+        self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
     def confirm(self, call):
         call(True)
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -22,11 +22,11 @@
     def __init__(self, pool):
         self.environment = all_orders.ManualEnvironment(pool, "keeper:1")
         self.machine = types.SimpleNamespace(leader_began=None)
-        self.duties, self.is_sure, self.freeze_s = [], True, 0.0
-        self.leader, self.who, self.heard = "", "K/1", 0.0
+        self.leader_tasks, self.quorate, self.freeze_s = [], True, 0.0
+        self.leader, self.member_id, self.last_contact = "", "K/1", 0.0
 
-    def sure(self):
-        found = self.is_sure
+    def has_quorum(self):
+        found = self.quorate
         self.environment.pool.time += self.freeze_s
         return found
 
@@ -76,7 +76,7 @@
 
 def test_a_member_that_is_not_sure_grants_nothing(case):
     case.pool.time += 100.0
-    case.seat.is_sure = False
+    case.seat.quorate = False
     assert case.ask(9) is None
 
 
--- a/tests/test_permit_walks.py
+++ b/tests/test_permit_walks.py
@@ -37,7 +37,7 @@
 
 
 def test_the_walks_find_a_leader_that_grants_without_a_sure_majority(monkeypatch):
-    monkeypatch.setattr(member_module.Member, "sure", lambda self: self.is_leader and self.ready)
+    monkeypatch.setattr(member_module.Member, "has_quorum", lambda self: self.is_leader and self.ready)
     broken("granted in a window")
 
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -152,11 +152,11 @@
     assert disk.read("incarnation").decode() == expected["incarnation"]
     log = disk_log.PartLog(disk, 0)
     assert [log.term, log.vote, log.base, log.last] == expected["log"]
-    assert log.entries == expected["entries"] and log.snap == expected["snapshot"]
+    assert log.entries == expected["entries"] and log.snapshot == expected["snapshot"]
     machine = config_machine.ConfigMachine()
-    machine.restore(log.snap["state"])
+    machine.restore(log.snapshot["state"])
     for entry in log.entries:
-        if entry["i"] > log.snap["index"]:
+        if entry["i"] > log.snapshot["index"]:
             machine.apply(entry["i"], entry["c"])
     assert json.loads(json.dumps(machine.dump())) == expected["state"]
 
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -25,7 +25,7 @@
     f.start(name)
     f.run(3)
     late, leader = f.parts[name].members[0], f.parts[f.leader()].members[0]
-    assert late.log.snap is None and late.log.last == leader.log.last
+    assert late.log.snapshot is None and late.log.last == leader.log.last
     assert late.machine.latest == leader.machine.latest == len(f.writes) == 6
 
 
@@ -44,7 +44,7 @@
     f.run(3)
     late = f.parts[name].members[0]
     latest = f.parts[f.leader()].members[0].machine.latest
-    assert late.log.snap["index"] > behind and late.machine.latest == latest == len(f.writes) > 8
+    assert late.log.snapshot["index"] > behind and late.machine.latest == latest == len(f.writes) > 8
     for other in f.names("keep"):  # and what it was handed lasts
         f.kill(other)
     for other in f.names("keep"):
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -64,7 +64,7 @@
     group.lead("A")
     group.pool.time += 3.3
     group.seats["A"].renew()
-    duty, seat = group.duties["A"], group.seats["A"]
+    duty, seat = group.leader_tasks["A"], group.seats["A"]
     speech = Speech()
     found = listed.Listed(seat.environment, "", journal.Journal(), None, lambda: [])
     found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -75,7 +75,7 @@
         len(leader.log.entries),
         leader.log.size_of(leader.log.base + 1),
         sum(len(f.disks[f.leader()].read(n)) for n in f.disks[f.leader()].names()),
-        len(json.dumps(leader.log.snap)) if leader.log.snap else 0,
+        len(json.dumps(leader.log.snapshot)) if leader.log.snapshot else 0,
         took,
     )
 
--- a/tools/simulator/end_of_day.py
+++ b/tools/simulator/end_of_day.py
@@ -13,7 +13,7 @@
     for part in range(len(f.parts[alive[0]].members)):
         seats = {n: f.parts[n].members[part] for n in alive}
         leaders = [n for n, s in seats.items() if s.is_leader]
-        want = sorted(s.who for s in seats.values())
+        want = sorted(s.member_id for s in seats.values())
         if len(leaders) != 1:
             found.append(f"part {part}: leaders {leaders}, states {[s.chart.state for s in seats.values()]}")
         elif sorted(seats[leaders[0]].members) != want:
