--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -2,7 +2,7 @@
 
 A process serves only while a lease runs, and the lease is counted from the
 moment it asked, so whatever delay or freeze follows only shortens it. While a
-newer document is staged here, no lease lasts more than LEASE_SHORT. A document comes
+newer document is staged here, no lease lasts more than SHORT_LEASE_S. A document comes
 whole, or as the difference to one that is held here (`changes`); where that base is
 missing, the next ask says that it takes none, and the whole is sent. `sequence`
 is the check made right before every send: it gives the sequence to serve under,
@@ -38,16 +38,16 @@
         self.active, self.staged = 0, 0
         self.until = 0.0
         self.view = (0, 0.0, None)  # (active, until, document), read by other threads
-        self.mark = int(desk.now() * constants.MARKS_A_SECOND)  # of the last ask; no life before used the same
+        self.mark = int(desk.now() * constants.REQUEST_MARKS_PER_S)  # of the last ask; no life before used the same
         self.asked, self.responded = {}, desk.now()  # mark -> when it was asked; when the leader last answered
         self.started = desk.now()
         self.number = 0  # latest news number
         self.turn = 0
-        self.asked_at = -constants.ASK_BEAT  # when it last asked
+        self.asked_at = -constants.LEASE_RENEWAL_INTERVAL_S  # when it last asked
         self.next_tick = None
         self.asks = AskCounts()
         self.staged_at: dict[int, float] = {}  # sequence -> when its document came
-        self.reports = ring.Allowance(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
+        self.reports = ring.Allowance(constants.MAX_VERSION_REPORT_BURST_LINES, constants.VERSION_REPORT_LINES_PER_S)
         for kind in ("grant", "news", "look_elsewhere"):
             desk.hear(kind, getattr(self, "on_" + kind), 0)
         desk.post(self.tick)
@@ -55,14 +55,16 @@
     def tick(self):
         self.ask()
         busy = self.staged > self.active
-        self.next_tick = self.desk.beat(constants.ASK_BEAT_SHORT if busy else constants.ASK_BEAT, self.tick)
+        self.next_tick = self.desk.beat(
+            constants.SHORT_LEASE_RENEWAL_INTERVAL_S if busy else constants.LEASE_RENEWAL_INTERVAL_S, self.tick
+        )
 
     def renew_soon(self) -> None:
         """Ask at once, or one short interval after the last time: a short lease runs out before the usual one."""
         if not self.next_tick:  # the first tick is still to come
             return
         self.next_tick.cancel()
-        wait = self.asked_at + constants.ASK_BEAT_SHORT - self.desk.now()
+        wait = self.asked_at + constants.SHORT_LEASE_RENEWAL_INTERVAL_S - self.desk.now()
         if wait > 0:
             self.next_tick = self.desk.beat(wait, self.tick)
         else:
@@ -70,7 +72,7 @@
 
     def ask(self):
         now = self.desk.now()
-        if now - self.responded > 2 * constants.ASK_BEAT:
+        if now - self.responded > 2 * constants.LEASE_RENEWAL_INTERVAL_S:
             self.leader = ""
         self.mark += 1
         self.asked[self.mark] = self.asked_at = now
@@ -90,8 +92,10 @@
     def some_keepers(self):
         """While no leader is known: a few at once, in a steady order so that none is passed over."""
         known = sorted(set(self.keepers()))
-        self.turn += constants.ASK_MOST
-        return [known[(self.turn + n) % len(known)] for n in range(min(constants.ASK_MOST, len(known)))]
+        self.turn += constants.MAX_LEASE_REQUEST_MEMBERS
+        return [
+            known[(self.turn + n) % len(known)] for n in range(min(constants.MAX_LEASE_REQUEST_MEMBERS, len(known)))
+        ]
 
     def on_look_elsewhere(self, sender, body):
         self.asks.redirected += 1
@@ -111,14 +115,14 @@
             return
         length = body["length"]
         if self.staged > body["active"]:
-            length = min(length, constants.LEASE_SHORT)
+            length = min(length, constants.SHORT_LEASE_S)
         self.activate(body["active"])
         if self.active == body["active"] and length > 0:  # a grant of no length says only who leads
             self.note_gap(asked + length)
             self.until = max(self.until, asked + length)
         else:
             self.asks.empty_grants += 1
-        if 0 < length <= constants.LEASE_SHORT:
+        if 0 < length <= constants.SHORT_LEASE_S:
             self.renew_soon()
         self.show()
 
@@ -165,7 +169,7 @@
             self.staged_at.setdefault(sequence, self.desk.now())
             self.staged = max(self.staged, sequence)
         if self.staged > self.active:
-            self.until = min(self.until, self.desk.now() + constants.LEASE_SHORT)
+            self.until = min(self.until, self.desk.now() + constants.SHORT_LEASE_S)
             self.show()
         if docs:
             self.desk.tell(sender, "news_ack", part=0, number=number, staged=self.staged)
@@ -193,7 +197,7 @@
         """Report how long no lease ran, if this one ends such a time; counted from the start for the first."""
         now = self.desk.now()
         missing = now - max(self.until, self.started)
-        if until > now and missing > constants.LEASE_GAP:
+        if until > now and missing > constants.MIN_REPORTED_LEASE_GAP_S:
             fields = dataclasses.asdict(self.asks) | {"sequence": self.active, "leader": self.leader}
             ring.report("lease_back", missing_s=round(missing, 3), **fields)
         if until > now:
--- a/mothshed/control_plane/commit_moments.py
+++ b/mothshed/control_plane/commit_moments.py
@@ -23,7 +23,7 @@
         """Drop all that an earlier leader's rounds have shown."""
         self.echoed_at: dict[int, float] = {}  # round -> this member's clock when it was received
         self.sent_after: dict[int, float] = {}  # round -> a moment at or before which it was not sent yet
-        self.proofs: collections.deque[tuple[int, float]] = collections.deque(maxlen=constants.PROOFS_KEPT)
+        self.proofs: collections.deque[tuple[int, float]] = collections.deque(maxlen=constants.MAX_COMMIT_PROOFS)
 
     def received(self, term: int, round_number: int, echoed: int, confirmed: int, commit: int, now: float) -> None:
         """Take note of an append.
@@ -38,7 +38,7 @@
         if echoed in self.echoed_at:
             self.sent_after[round_number] = self.echoed_at[echoed]
         for rounds in (self.echoed_at, self.sent_after):
-            rounds.pop(round_number - constants.ROUNDS_KEPT, None)
+            rounds.pop(round_number - constants.MAX_REMEMBERED_ROUNDS, None)
         proven_at = self.sent_after.get(confirmed)
         if proven_at is not None:
             self.note(commit, proven_at)
--- a/mothshed/control_plane/config_machine.py
+++ b/mothshed/control_plane/config_machine.py
@@ -71,10 +71,10 @@
         """Keeps the active document, the newest staged ones and a history bounded in count and bytes."""
         staged = sorted(s for s in self.docs if s > self.active)
         older = sorted((s for s in self.docs if s < self.active), reverse=True)
-        dropped, total = staged[: -constants.STAGED_MOST], 0
+        dropped, total = staged[: -constants.MAX_STAGED_DOCUMENTS], 0
         for place, sequence in enumerate(older):
             total += self.size_of(sequence)
-            if place >= constants.HISTORY or total > constants.HISTORY_BYTES:
+            if place >= constants.MAX_HISTORY_DOCUMENTS or total > constants.MAX_HISTORY_BYTES:
                 dropped = dropped + older[place:]
                 break
         for sequence in dropped:
--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -31,7 +31,7 @@
         self.number = 0
         self.asking = False
         self.lost = {}  # address -> (when, mark): asked here while this was not the leader
-        self.reports = ring.Allowance(constants.VERSION_REPORT_MOST, constants.VERSION_REPORT_RATE)
+        self.reports = ring.Allowance(constants.MAX_VERSION_REPORT_BURST_LINES, constants.VERSION_REPORT_LINES_PER_S)
         self.withheld = 0  # the newest sequence for which no lease of an older one was granted
         member.duties.append(self)
         self.machine.changed = self.changed
@@ -48,7 +48,7 @@
         self.started = self.desk.now()
         self.activates_from = self.member.former_leases_end(self.bounds.long_s)
         for address, (at, mark) in self.lost.items():
-            if at > self.started - constants.LEASE_LONG:
+            if at > self.started - constants.LONG_LEASE_S:
                 self.desk.tell(address, "look_elsewhere", part=0, mark=mark, leader=self.desk.address)
         self.lost = {}
         self.tick()
@@ -64,7 +64,7 @@
     def tick(self):
         if self.on:
             self.try_activate()
-            self.desk.beat(constants.LEASE_SHORT / 4, self.tick)
+            self.desk.beat(constants.SHORT_LEASE_S / 4, self.tick)
 
     def changed(self, kind, sequence):
         if not self.on:
@@ -87,7 +87,7 @@
     def without(self, sequence: int) -> list[str]:
         """A few leaseholders that have not staged a sequence."""
         lacking = sorted(address for address, holder in self.holders.items() if holder.staged < sequence)
-        return lacking[: constants.NAMED_MOST]
+        return lacking[: constants.MAX_NAMED_PROCESSES]
 
     def note_withheld(self) -> None:
         """Report, once for each version, that older ones are leased no longer though it is not active."""
@@ -132,14 +132,14 @@
         if now > min(self.staged_at.values(), default=-math.inf) + self.bounds.older_s:
             self.note_withheld()
             return 0.0
-        return constants.LEASE_SHORT
+        return constants.SHORT_LEASE_S
 
     def grant(self, sender, body):
         now, length = self.desk.now(), self.length()
         holder = self.holders.setdefault(sender, leaseholder.Leaseholder(staged=body["staged"], active=body["held"]))
         delivery = self.delivery.delivery(holder.take_lack(self.machine, now))
         if length:
-            holder.until = max(holder.until, now + length + constants.LEASE_SLACK)
+            holder.until = max(holder.until, now + length + constants.LEASE_CLOCK_MARGIN_S)
         self.desk.tell(
             sender,
             "grant",
@@ -159,13 +159,15 @@
         if holder and body["staged"] > holder.staged:
             holder.staged = body["staged"]
             if body["staged"] > self.machine.active:
-                cut = self.desk.now() + constants.LEASE_SHORT + constants.LEASE_SLACK
+                cut = self.desk.now() + constants.SHORT_LEASE_S + constants.LEASE_CLOCK_MARGIN_S
                 holder.until = min(holder.until, cut)
             self.try_activate()
 
     def try_activate(self):
         machine, now = self.machine, self.desk.now()
-        for address in [a for a, h in self.holders.items() if max(h.until, h.asked) < now - constants.HOLDER_LIFE]:
+        for address in [
+            a for a, h in self.holders.items() if max(h.until, h.asked) < now - constants.LEASE_HOLDER_TTL_S
+        ]:
             del self.holders[address]
         if not self.on or machine.latest == machine.active or self.asking:
             return
--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -87,7 +87,7 @@
         another one be taken meanwhile, the command's base no longer holds and the write is a conflict.
         """
         machine = self.member.machine
-        until = self.member.desk.now() + constants.OPERATOR_WAIT
+        until = self.member.desk.now() + constants.OPERATOR_CALL_TIMEOUT_S
         known, newest = self.read(lambda: (machine.known_result(command), machine.newest_document()))
         if known:
             return known
@@ -112,7 +112,7 @@
             call.end(Unclear() if result is None else result)
 
     def run(
-        self, begin: collections.abc.Callable[[PendingCall], None], span: float = constants.OPERATOR_WAIT
+        self, begin: collections.abc.Callable[[PendingCall], None], span: float = constants.OPERATOR_CALL_TIMEOUT_S
     ) -> typing.Any:
         """Begin a call within the mailbox while a majority is in touch, and wait span seconds for its end."""
         if not self.member.sure():  # also read here: the mailbox may be held up by its disk
--- a/mothshed/control_plane/document_delivery.py
+++ b/mothshed/control_plane/document_delivery.py
@@ -68,9 +68,9 @@
         return made
 
     def drop_oldest(self) -> None:
-        """Keep the DELIVERED_MOST newest forms, those that the leader has, and differences of them."""
+        """Keep the MAX_DELIVERED_DOCUMENTS newest forms, those that the leader has, and differences of them."""
         had = self.documents()
-        for sequence in sorted(self.forms)[: -constants.DELIVERED_MOST]:
+        for sequence in sorted(self.forms)[: -constants.MAX_DELIVERED_DOCUMENTS]:
             if sequence not in had:
                 del self.forms[sequence]
         self.differences = {pair: row for pair, row in self.differences.items() if set(pair) <= self.forms.keys()}
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -5,7 +5,7 @@
 stands at the very moment its patience ends, and of two in a trial the one with the
 later name gives way: an asker's answer follows its own ask down one connection, so
 of two survivors only one goes on to the round that counts. No
-member gives a vote within VOTE_HOLD of hearing a leader, nor within VOTE_HOLD of
+member gives a vote within VOTE_WITHHOLD_S of hearing a leader, nor within VOTE_WITHHOLD_S of
 its own start (its earlier promise may still hold); leases lean on that. Only a
 named successor of a stopping leader is let past the hold. A member outside its
 own view of the group, an empty or wiped one, never votes and never stands.
@@ -25,13 +25,15 @@
         self.pick_patience()
 
     def pick_patience(self):
-        self.patience = constants.ELECT_LOW + self.desk.random.random() * constants.ELECT_SPAN
+        self.patience = (
+            constants.ELECTION_TIMEOUT_MIN_S + self.desk.random.random() * constants.ELECTION_TIMEOUT_SPREAD_S
+        )
 
     def tick(self):
         if self.chart.state == "stopped":
             return
         self.guard(self.work)()
-        self.desk.beat(constants.HEART_BEAT, self.tick)
+        self.desk.beat(constants.HEARTBEAT_INTERVAL_S, self.tick)
 
     def work(self):
         now = self.desk.now()
@@ -41,7 +43,7 @@
             due = max(self.heard, self.woken) + self.patience - now
             if due <= 0:
                 self.stand(trial=True)
-            elif due < constants.HEART_BEAT:
+            elif due < constants.HEARTBEAT_INTERVAL_S:
                 self.desk.beat(due, self.guard(self.stand_if_due))
         self.keep_joining(now)
 
@@ -50,7 +52,7 @@
         if (
             self.chart.state in ("follower", "candidate")
             and not self.leaving
-            and quiet > self.patience - constants.ROUNDING
+            and quiet > self.patience - constants.CLOCK_ROUNDING_ERROR_S
         ):
             self.stand(trial=True)
 
@@ -85,7 +87,7 @@
         now = self.desk.now()
         if self.who not in self.members:
             return
-        if not body["handed"] and (self.is_leader or now - self.heard < constants.VOTE_HOLD):
+        if not body["handed"] and (self.is_leader or now - self.heard < constants.VOTE_WITHHOLD_S):
             return
         if body["term"] > self.log.term and not body["trial"]:
             self.take_term(body["term"])
@@ -126,13 +128,13 @@
         """When every lease that earlier leaders granted, each for lease_s at most, has run out: on this member's clock.
 
         A lease counts from its ask, and its leader granted it only after a majority echoed a round sent later.
-        One of that majority is among those that elected this leader, and gave its vote no sooner than VOTE_HOLD
-        after that echo (an earlier leader that steps down had gone without a majority's echoes for LEADER_QUIET,
+        One of that majority is among those that elected this leader, and gave its vote no sooner than VOTE_WITHHOLD_S
+        after that echo (an earlier leader that steps down had gone without a majority's echoes for QUORUM_TIMEOUT_S,
         which is no shorter). Votes for a successor that its leader named are given at once: then nothing is taken
         off.
         """
-        held_s = 0.0 if self.handed else min(constants.VOTE_HOLD, constants.LEADER_QUIET)
-        return float(self.won_at) + lease_s - held_s + constants.LEASE_SLACK
+        held_s = 0.0 if self.handed else min(constants.VOTE_WITHHOLD_S, constants.QUORUM_TIMEOUT_S)
+        return float(self.won_at) + lease_s - held_s + constants.LEASE_CLOCK_MARGIN_S
 
     def win(self):
         self.chart.step("win")
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -64,7 +64,7 @@
         )
         self.lease = lease_module.Lease(desk, self.lease_goals)
         self.new_desk, self.speech = new_desk, speech
-        opened = [self.open_part(part) for part in range(constants.PARTS)]
+        opened = [self.open_part(part) for part in range(constants.PART_COUNT)]
         self.members = [member for member, _ in opened]
         self.duties = [duty for _, duty in opened]
 
@@ -72,7 +72,8 @@
         """This keeper's member of a part as its disk holds it, and what the member does when it leads."""
         settings = self.settings
         bounds = reconfiguration.Bounds(
-            settings.get("losses", constants.LOSSES), settings.get("catch_up_s", constants.CATCH_UP)
+            settings.get("losses", constants.DEFAULT_TOLERATED_FAILURES),
+            settings.get("catch_up_s", constants.DEFAULT_CATCH_UP_S),
         )
         member = member_module.Member(
             self.new_desk(),
@@ -87,12 +88,12 @@
         )
         member.failed = self.disk_failed
         if not part:
-            in_force = settings.get("in_force_s", constants.IN_FORCE)
+            in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
         duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.speech, tenure)
         permit_duty.PermitDuty(member, self.lease, self.journal, limit_bounds.from_settings(settings))
-        if self.speech and part == constants.LIST_PART:
+        if self.speech and part == constants.LIST_READER_PART:
             list_duty.ListDuty(member, self.replicas)
         return member, duty
 
@@ -105,7 +106,7 @@
     def wait_for_disk(self):
         """Tries the disk until it takes writes and every part that it failed is open again."""
         while any(member.disk_lost for member in self.members):
-            self.desk.pause(constants.DISK_RETRY)
+            self.desk.pause(constants.DISK_RETRY_INTERVAL_S)
             try:
                 self.disk.put("probe", b".")
                 self.reopen_parts()
@@ -138,22 +139,22 @@
         counters.CountersReport(self.desk, self.totals, self.desk.figures).run()
 
     def front(self, make=keeper_front.KeeperFront):
-        return front.Server(self.settings["http"], make(self), constants.HTTP_THREADS)
+        return front.Server(self.settings["http"], make(self), constants.OPERATOR_SERVER_THREADS)
 
     def in_part(self, member, call):
         """Runs call() in a part's mailbox and waits for what it returns."""
         gate, box = self.desk.gate(), []
         member.desk.post(lambda: (box.append(call()), gate.set()))
-        return box[0] if gate.wait(constants.COMMIT_WAIT) else None
+        return box[0] if gate.wait(constants.MAILBOX_CALL_TIMEOUT_S) else None
 
     def drain(self):
         """Hands every led part to a successor and leaves the groups; True if all were taken over."""
         for member in self.members:
             self.in_part(member, member.leave)
-        self.desk.pause(2 * constants.HEART_BEAT)
-        until = self.desk.now() + self.settings.get("drain_s", constants.LEAVE_WAIT)
+        self.desk.pause(2 * constants.HEARTBEAT_INTERVAL_S)
+        until = self.desk.now() + self.settings.get("drain_s", constants.DEFAULT_LEAVE_TIMEOUT_S)
         while self.desk.now() < until and not all(member.released for member in self.members):
-            self.desk.pause(constants.HEART_BEAT)
+            self.desk.pause(constants.HEARTBEAT_INTERVAL_S)
         return not any(member.is_leader for member in self.members)
 
     def condition(self):
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -79,7 +79,7 @@
             return None
         place = self.member.members.get(leader_hint.recent_leader(self.member))
         if not place:
-            return front.fault(start, 503, "the configuration part has no leader now", retry=constants.RETRY_AFTER)
+            return front.fault(start, 503, "the configuration part has no leader now", retry=constants.RETRY_AFTER_S)
         query = environ.get("QUERY_STRING")
         goal = f"http://{place['http']}{environ['PATH_INFO']}" + (f"?{query}" if query else "")
         return front.respond(start, 307, {"leader": place["http"]}, [("Location", goal)])
@@ -180,7 +180,7 @@
 
 def not_confirmed(start: StartResponse) -> list[bytes]:
     reason = "no majority confirms this leader now; nothing was written"
-    return front.fault(start, 503, reason, retry=constants.RETRY_AFTER)
+    return front.fault(start, 503, reason, retry=constants.RETRY_AFTER_S)
 
 
 def unclear(start: StartResponse, order_id: str) -> list[bytes]:
@@ -212,8 +212,8 @@
         raise document_change.ChangeFault([f"document.{f}" for f in found])
     document = configuration.full(document)
     size = len(json.dumps(document))
-    if size > constants.BODY_MOST:
-        raise document_change.ChangeFault([f"document: {size} bytes, more than {constants.BODY_MOST}"])
+    if size > constants.MAX_BODY_BYTES:
+        raise document_change.ChangeFault([f"document: {size} bytes, more than {constants.MAX_BODY_BYTES}"])
     return document
 
 
--- a/mothshed/control_plane/leader_hint.py
+++ b/mothshed/control_plane/leader_hint.py
@@ -7,7 +7,7 @@
     """The id of a leader other than this member that was heard of lately, or ""."""
     if not member.leader or member.leader == member.who:
         return ""
-    if member.desk.now() - member.heard >= constants.LEADER_FRESH:
+    if member.desk.now() - member.heard >= constants.LEADER_HINT_MAX_AGE_S:
         return ""
     return member.leader
 
--- a/mothshed/control_plane/lease_bounds.py
+++ b/mothshed/control_plane/lease_bounds.py
@@ -15,14 +15,14 @@
     (2.1, 0.78)
     """
 
-    in_force_s: float = constants.IN_FORCE
+    in_force_s: float = constants.DEFAULT_ACTIVATION_DELAY_S
 
     @property
     def long_s(self) -> float:
         """Seconds of a lease while no change is under way."""
-        return min(constants.LEASE_LONG, self.in_force_s - constants.IN_FORCE_MARGIN)
+        return min(constants.LONG_LEASE_S, self.in_force_s - constants.ACTIVATION_MARGIN_S)
 
     @property
     def older_s(self) -> float:
         """Seconds after an acknowledgement for which short leases of an older configuration may be granted."""
-        return max(0.0, self.in_force_s - constants.IN_FORCE_MARGIN - constants.LEASE_SHORT)
+        return max(0.0, self.in_force_s - constants.ACTIVATION_MARGIN_S - constants.SHORT_LEASE_S)
--- a/mothshed/control_plane/leaseholder.py
+++ b/mothshed/control_plane/leaseholder.py
@@ -33,7 +33,7 @@
 
     def take_sequences(self, machine: typing.Any, now: float) -> tuple[int, ...]:
         """The documents to send now: the newest and the active one, if it lacks them and they are not on their way."""
-        self.sent = {s: at for s, at in self.sent.items() if now - at < constants.RESEND_AFTER}
+        self.sent = {s: at for s, at in self.sent.items() if now - at < constants.DOCUMENT_RESEND_S}
         needed = set()
         if self.staged < machine.latest:
             needed.add(machine.latest)
--- a/mothshed/control_plane/list_duty.py
+++ b/mothshed/control_plane/list_duty.py
@@ -18,7 +18,7 @@
         self.member, self.desk, self.listed = member, member.desk, listed
         self.on = False
         self.rows, self.number, self.at = {}, 0, -1e9
-        self.changes = collections.deque(maxlen=constants.LIST_CHANGES)  # (number, rows, gone)
+        self.changes = collections.deque(maxlen=constants.MAX_LIST_CHANGES)  # (number, rows, gone)
         self.holders = {}  # address -> [number it has, when it asked]
         member.duties.append(self)
         self.desk.hear("list_ask", self.on_ask, member.part)
@@ -42,7 +42,7 @@
                 self.desk.post(lambda rows=rows, at=began: self.took(rows, at))
             except web.WebFault as e:
                 self.listed.journal.add("list", outcome="failed", reason=str(e))
-            self.desk.pause(constants.LIST_BEAT)
+            self.desk.pause(constants.LIST_POLL_INTERVAL_S)
 
     def took(self, rows, at):
         if not self.on:
@@ -53,7 +53,7 @@
         if new or gone:
             self.number += 1
             self.changes.append((self.number, new, gone))
-            old = self.desk.now() - constants.LIST_HOLD
+            old = self.desk.now() - constants.LIST_SUBSCRIPTION_TTL_S
             self.holders = {a: h for a, h in self.holders.items() if h[1] > old}
             for address in self.holders:
                 self.tell(address)
--- a/mothshed/control_plane/load_sums.py
+++ b/mothshed/control_plane/load_sums.py
@@ -23,7 +23,7 @@
 
 
 class LoadSums:
-    """Reports of routers not older than USAGE_LIFE, and their sums. now: seconds of the boot clock."""
+    """Reports of routers not older than LOAD_TTL_S, and their sums. now: seconds of the boot clock."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
         self.now = now
@@ -64,7 +64,7 @@
 
     def drop_old(self) -> None:
         """Take out the reports that are too old to count."""
-        oldest = self.now() - constants.USAGE_LIFE
+        oldest = self.now() - constants.LOAD_TTL_S
         while self.reports:
             sender, report = next(iter(self.reports.items()))
             if report.at > oldest:
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -187,7 +187,9 @@
     def snapshot_due(self):
         """Whether enough entries, or bytes of them, stand after the newest snapshot."""
         since = self.applied - (self.log.snap["index"] if self.log.snap else 0)
-        return since >= constants.SNAP_EVERY or (since > 0 and self.log.bytes_since_snapshot > constants.SNAP_BYTES)
+        return since >= constants.SNAPSHOT_INTERVAL_ENTRIES or (
+            since > 0 and self.log.bytes_since_snapshot > constants.SNAPSHOT_INTERVAL_BYTES
+        )
 
     def snap(self):
         snap = {
@@ -196,7 +198,7 @@
             "membership": self.membership_at(self.applied)[0].command(),
             "state": self.machine.dump(),
         }
-        keep = max(self.log.base, self.applied - constants.KEEP_BEHIND)
+        keep = max(self.log.base, self.applied - constants.MAX_RETAINED_LOG_ENTRIES)
         self.log.put_snap(snap, keep)
 
     def not_committed_before(self, index: int) -> float | None:
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -55,7 +55,7 @@
 
     def turn_gap(self) -> float:
         """How long a new holder keeps silent; the one before may have ordered until its seat was taken."""
-        return constants.TURN_GAP if self.tenure is None else self.tenure + constants.TURN_MARGIN
+        return constants.FIRST_ORDER_DELAY_S if self.tenure is None else self.tenure + constants.ORDER_DELIVERY_MARGIN_S
 
     def stop(self):
         self.on, self.standing = False, 0
@@ -75,7 +75,7 @@
         document = self.lease.document()
         if self.may(self.standing) and document and self.lease.sequence():
             self.look(document)
-        self.desk.beat(constants.ORDER_BEAT, self.tick)
+        self.desk.beat(constants.ORDER_INTERVAL_S, self.tick)
 
     def shared(self, selector):
         """A pool's replicas: ours, other parts', and our rank among the parts that have some."""
@@ -169,8 +169,8 @@
     def send(self, name, url, role, standing):
         good = False
         if self.shared_usage:  # routers hear of it before the replica does
-            self.shared_usage.shifting[name] = self.desk.now() + constants.CHANGE_OUT
-            self.desk.pause(constants.ORDER_NOTICE)
+            self.shared_usage.shifting[name] = self.desk.now() + constants.ROLE_CHANGE_EXCLUSION_S
+            self.desk.pause(constants.ORDER_NOTICE_S)
 
         def ready() -> bool:
             return bool(self.may(standing) and self.still_wanted(name, role))
@@ -188,7 +188,7 @@
             self.journal.add("order", outcome="taken" if good else "failed", replica=name, role=role)
             seen = self.replicas.conditions.get(name)
             if good and not self.says_standing:  # the list says so late, and each order has its price
-                self.quiet[(name, role)] = self.desk.now() + constants.ORDER_QUIET
+                self.quiet[(name, role)] = self.desk.now() + constants.ORDER_REPEAT_INTERVAL_S
             if good and seen:
                 seen["c"] = {**seen["c"], "role": role}
                 self.told.add((name, seen["c"]["engine"]))
--- a/mothshed/control_plane/parts.py
+++ b/mothshed/control_plane/parts.py
@@ -3,10 +3,10 @@
 import mothshed.constants as constants
 
 
-def part_of(service, parts=constants.PARTS):
+def part_of(service, parts=constants.PART_COUNT):
     """The part that keeps a service: never 0, which holds the configuration.
 
-    >>> part_of("shift-notes") in range(1, constants.PARTS)
+    >>> part_of("shift-notes") in range(1, constants.PART_COUNT)
     True
     """
     total = 0
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -51,7 +51,7 @@
         self.refused.clear()
         self.with_credit = self.started - self.began[0] > self.bounds.window_s
         for address, (asked_at, mark) in self.redirected.items():
-            if self.started - asked_at < constants.PERMIT_WAIT_MOST:
+            if self.started - asked_at < constants.PERMIT_LEADER_NOTICE_TTL_S:
                 self.redirect(address, mark, self.environment.address)
         self.redirected = {}
 
@@ -67,7 +67,7 @@
         """Remember who is to be told of a new leader, in the order of asking, for as long as that is of use."""
         self.redirected.pop(address, None)
         self.redirected[address] = (now, mark)
-        while now - next(iter(self.redirected.values()))[0] > constants.PERMIT_WAIT_MOST:
+        while now - next(iter(self.redirected.values()))[0] > constants.PERMIT_LEADER_NOTICE_TTL_S:
             del self.redirected[next(iter(self.redirected))]
 
     def on_permit_ask(self, sender: str, body: Body) -> None:
--- a/mothshed/control_plane/progress.py
+++ b/mothshed/control_plane/progress.py
@@ -37,7 +37,7 @@
 
     def room(self) -> int:
         """Bytes of entries that may be sent now."""
-        return constants.WINDOW_BYTES - sum(flight.size for flight in self.flights)
+        return constants.REPLICATION_WINDOW_BYTES - sum(flight.size for flight in self.flights)
 
     def sent(self, round_number: int, last: int, size: int) -> None:
         """Notes entries up to `last` as under way."""
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -21,8 +21,8 @@
     losses: voters lost at once. catch_up: seconds that a loss counts on after its machine is back or replaced.
     """
 
-    losses: int = constants.LOSSES
-    catch_up: float = constants.CATCH_UP
+    losses: int = constants.DEFAULT_TOLERATED_FAILURES
+    catch_up: float = constants.DEFAULT_CATCH_UP_S
 
     @property
     def smallest(self) -> int:
@@ -32,7 +32,7 @@
     @property
     def gone_after(self) -> float:
         """Seconds of silence after which a voter may be replaced."""
-        return constants.GONE_SHARE * self.catch_up
+        return constants.SILENT_VOTER_RATIO * self.catch_up
 
 
 class Reconfiguration:
@@ -49,13 +49,13 @@
         if self.leaving:
             self.keep_leaving()
             return
-        if now - self.asked_at < constants.JOIN_BEAT or self.is_leader:
+        if now - self.asked_at < constants.JOIN_REQUEST_INTERVAL_S or self.is_leader:
             return
         self.asked_at = now
         if self.chart.state == "empty" and self.address in self.first:
             for address in self.first:
                 self.desk.tell(address, "born_ask", part=self.part, who=self.who, address=self.address, http=self.http)
-        if self.chart.state in ("empty", "learner") or now - self.heard > 2 * constants.ELECT_LOW:
+        if self.chart.state in ("empty", "learner") or now - self.heard > 2 * constants.ELECTION_TIMEOUT_MIN_S:
             goals = {m["address"] for m in self.members.values()} | set(self.first) | set(self.known())
             for address in sorted(goals - {self.address}):
                 self.desk.tell(address, "join_ask", part=self.part, who=self.who, address=self.address, http=self.http)
@@ -82,7 +82,7 @@
             return
         now = self.desk.now()
         self.empties[body["address"]] = (now, body["who"], body["http"])
-        fresh = {a: e for a, e in self.empties.items() if now - e[0] < 2 * constants.JOIN_BEAT}
+        fresh = {a: e for a, e in self.empties.items() if now - e[0] < 2 * constants.JOIN_REQUEST_INTERVAL_S}
         if set(self.first) <= set(fresh) and len(self.first) >= 1:
             self.birth({fresh[a][1]: {"address": a, "http": fresh[a][2]} for a in sorted(self.first)})
 
@@ -129,7 +129,7 @@
             silence={member: self.silence(member, now) for member in self.others()},
             leaving=frozenset(self.leavers),
             smallest=self.bounds.smallest,
-            present_within=constants.LEADER_QUIET,
+            present_within=constants.QUORUM_TIMEOUT_S,
             gone_after=self.bounds.gone_after,
         )
 
@@ -137,16 +137,16 @@
         """Drops learners that neither ask nor answer any more, and old words of leaving."""
         for who, place in list(self.learners.items()):
             settled = self.membership.voters.get(who, {}).get("address") == place["address"]
-            if settled or min(now - place["at"], self.silence(who, now)) > 4 * constants.JOIN_BEAT:
+            if settled or min(now - place["at"], self.silence(who, now)) > 4 * constants.JOIN_REQUEST_INTERVAL_S:
                 del self.learners[who]
-        self.leavers = {who: at for who, at in self.leavers.items() if now - at < constants.LEAVE_LIFE}
+        self.leavers = {who: at for who, at in self.leavers.items() if now - at < constants.LEAVE_REQUEST_TTL_S}
 
     def ready_learners(self, now):
         """Places of the learners that answer and hold all that is committed."""
         found = {}
         for who, place in self.learners.items():
             progress = self.progress.get(who)
-            answers = progress and progress.answered and self.silence(who, now) < constants.LEADER_QUIET
+            answers = progress and progress.answered and self.silence(who, now) < constants.QUORUM_TIMEOUT_S
             if answers and progress.match >= self.commit:
                 found[who] = {"address": place["address"], "http": place["http"]}
         return found
@@ -178,7 +178,7 @@
 
     def knows_newcomers(self) -> bool:
         """Whether this leader has led for long enough to have heard of every member that asks to join."""
-        return self.ready and self.desk.now() - self.won_at >= constants.JOIN_KNOWN
+        return self.ready and self.desk.now() - self.won_at >= constants.JOIN_COLLECTION_S
 
     def can_spare(self, who):
         """Whether a change that lets this voter go is to be expected."""
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -38,8 +38,8 @@
         return self.progress[member]
 
     def spread(self):
-        """Sends what is missing to every member, at most once in a ROUND_GAP."""
-        gap = self.spread_at + constants.ROUND_GAP - self.desk.now()
+        """Sends what is missing to every member, at most once in a MIN_ROUND_INTERVAL_S."""
+        gap = self.spread_at + constants.MIN_ROUND_INTERVAL_S - self.desk.now()
         if gap <= 0:
             self.spread_now()
         elif not self.spread_due:
@@ -52,7 +52,7 @@
         self.spread_at = self.desk.now()
         self.round += 1
         self.sent_at[self.round] = self.spread_at
-        self.sent_at.pop(self.round - constants.ROUNDS_KEPT, None)
+        self.sent_at.pop(self.round - constants.MAX_REMEMBERED_ROUNDS, None)
         for member in self.targets():
             self.send_append(member)
         self.count_rounds()
@@ -83,8 +83,8 @@
         """The entries to send now and their size; none while a snapshot is on its way."""
         if progress.transfer is not None:
             return [], 0
-        room, entries, size = min(progress.room(), constants.APPEND_BYTES), [], 0
-        for index in range(progress.next, min(self.log.last, progress.next + constants.APPEND_MOST - 1) + 1):
+        room, entries, size = min(progress.room(), constants.MAX_APPEND_BYTES), [], 0
+        for index in range(progress.next, min(self.log.last, progress.next + constants.MAX_APPEND_ENTRIES - 1) + 1):
             more = self.log.entry_bytes(index)
             if size + more > room and (entries or progress.flights):
                 break
@@ -162,7 +162,9 @@
         sure = self.membership.agreed(seen)
         self.confirmed_round = max(self.confirmed_round, sure)
         if sure in self.sent_at:
-            self.sure_until = max(self.sure_until, self.sent_at[sure] + constants.VOTE_HOLD - constants.LEASE_SLACK)
+            self.sure_until = max(
+                self.sure_until, self.sent_at[sure] + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
+            )
         due = [c for c in self.confirms if c[0] <= sure]
         self.confirms = [c for c in self.confirms if c[0] > sure]
         for need, call in due:
@@ -190,7 +192,7 @@
         return now - (progress.answered_at if progress else self.won_at)
 
     def keep_leading(self, now):
-        present = [m for m in self.others() if self.silence(m, now) < constants.LEADER_QUIET]
+        present = [m for m in self.others() if self.silence(m, now) < constants.QUORUM_TIMEOUT_S]
         if not self.membership.has_quorum([*present, self.who]):
             self.step_back(True)
             return
--- a/mothshed/control_plane/service_part.py
+++ b/mothshed/control_plane/service_part.py
@@ -2,7 +2,7 @@
 
 The leader of the part takes the holder's seat with one log entry, which raises
 the standing by one; orders carry that standing and a replica refuses a lower
-one. A new holder gives no order until TURN_GAP after its seat was committed, and
+one. A new holder gives no order until FIRST_ORDER_DELAY_S after its seat was committed, and
 an old one none once it is no longer sure of its majority, so two holders never
 take turns within the brief's three seconds.
 """
@@ -68,8 +68,8 @@
     low = min(pool["least_prefill"], count)
     high = max(0, count - pool["least_decode"])
     if "engine" in pool:
-        low = max(low, int(count * constants.LEAST_READ))
-        high = min(high, count - math.ceil(count * constants.LEAST_WRITE))
+        low = max(low, int(count * constants.MIN_PREFILL_REPLICA_RATIO))
+        high = min(high, count - math.ceil(count * constants.MIN_DECODE_REPLICA_RATIO))
         low = min(low, high)
     return (low, high) if low <= high else (min(low, high), max(low, high))
 
@@ -101,7 +101,7 @@
                 count += roles[n] == "prefill"
         self.broken = self.broken + 1 if count < low or count > high else 0
         if self.broken:
-            if self.broken > rank * constants.RANK_BEATS:
+            if self.broken > rank * constants.BOUND_REPAIR_DELAY_CHECKS:
                 self.move(roles, usage, "prefill" if count < low else "decode")
             return roles
         if rank:
@@ -114,9 +114,12 @@
         self.agreed = self.agreed + 1 if lean * self.lean > 0 else int(lean != 0)
         self.lean = lean
         agree, hold = (
-            (constants.URGENT_AGREE, constants.URGENT_HOLD)
+            (constants.MIN_URGENT_SHIFT_CHECKS, constants.MIN_URGENT_SHIFT_INTERVAL_S)
             if abs(lean) > 1 and not costly
-            else (constants.SHIFT_AGREE, constants.CHANGE_HOLD if costly else constants.SHIFT_HOLD)
+            else (
+                constants.MIN_SHIFT_CHECKS,
+                constants.MIN_ROLE_CHANGE_INTERVAL_S if costly else constants.MIN_SHIFT_INTERVAL_S,
+            )
         )
         ready = self.agreed >= agree and self.now() - self.shifted_at > hold
         room = high - count if lean > 0 else count - low
@@ -129,7 +132,7 @@
 
     def shift_count(self, roles: dict[str, str], usage: dict[str, Load], lean: int, room: int) -> int:
         """How many replicas to move at once: a share of the pool, as far as its bounds and the giving side bear."""
-        most = min(room, max(1, int(constants.CHANGE_SHARE * len(roles))))
+        most = min(room, max(1, int(constants.MAX_ROLE_CHANGE_RATIO * len(roles))))
         return max((n for n in range(2, most + 1) if self.bearable(roles, usage, lean, n)), default=1)
 
     def move(self, roles, usage, role):
@@ -154,12 +157,14 @@
         count = sum(role == giver for role in roles.values())
         if count <= fewer:
             return False
-        return bool(self.pressures(roles, usage)[giver] * count / (count - fewer) < constants.CHANGE_BEAR)
+        return bool(
+            self.pressures(roles, usage)[giver] * count / (count - fewer) < constants.ROLE_CHANGE_MAX_LOAD_RATIO
+        )
 
     def pressure_lean(self, roles, usage):
         """Above 0: prefill is the tighter side, below: decode, 0: neither; 2 is overloaded."""
         press = self.pressures(roles, usage)
         for sign, tight, other in ((1, "prefill", "decode"), (-1, "decode", "prefill")):
-            if press[tight] > max(constants.SHIFT_PRESS, constants.SHIFT_UP * press[other]):
-                return 2 * sign if press[tight] > constants.URGENT_PRESS else sign
+            if press[tight] > max(constants.SHIFT_LOAD_RATIO, constants.SHIFT_IMBALANCE_RATIO * press[other]):
+                return 2 * sign if press[tight] > constants.URGENT_SHIFT_LOAD_RATIO else sign
         return 0
--- a/mothshed/control_plane/snapshot_transfer.py
+++ b/mothshed/control_plane/snapshot_transfer.py
@@ -33,7 +33,7 @@
 
     def due(self, now: float) -> bool:
         """Whether the next piece is to be sent: none is under way, or its answer is overdue."""
-        return self.sent_at is None or now - self.sent_at > constants.PIECE_RESEND
+        return self.sent_at is None or now - self.sent_at > constants.SNAPSHOT_CHUNK_RESEND_S
 
     def piece(self, now: float) -> Fields:
         """The fields of the record that carries the next piece."""
@@ -45,7 +45,7 @@
             "offset": self.offset,
             "total": len(whole.text),
             "checksum": whole.checksum,
-            "piece": whole.text[self.offset : self.offset + constants.PIECE_BYTES],
+            "piece": whole.text[self.offset : self.offset + constants.SNAPSHOT_CHUNK_CHARS],
         }
 
     def answered(self, index: int, offset: int) -> None:
--- a/mothshed/control_plane/taken_orders.py
+++ b/mothshed/control_plane/taken_orders.py
@@ -2,7 +2,7 @@
 
 An operator whose answer was lost sends the same order again, perhaps hours and hundreds
 of changes later. The record maps the digest of an order's id to the sequence it was
-given, oldest first, for the newest TAKEN_MOST orders. Each taken order builds on the
+given, oldest first, for the newest MAX_REMEMBERED_ORDERS orders. Each taken order builds on the
 sequence of the one before it, so an order can only be a forgotten one if its base is
 below `floor`, the sequence of the newest order that was dropped.
 
@@ -22,18 +22,18 @@
 
 import mothshed.constants as constants
 
-ENTRY = struct.Struct(f"!{constants.DIGEST_BYTES}sq")
+ENTRY = struct.Struct(f"!{constants.ORDER_DIGEST_BYTES}sq")
 
 
 def digest_of(order_id: str) -> bytes:
     """A digest of fixed length, whatever an operator's ids look like."""
-    return hashlib.blake2b(order_id.encode("utf-8", "surrogatepass"), digest_size=constants.DIGEST_BYTES).digest()
+    return hashlib.blake2b(order_id.encode("utf-8", "surrogatepass"), digest_size=constants.ORDER_DIGEST_BYTES).digest()
 
 
 class TakenOrders:
     """Order id -> sequence for the newest orders, and a floor below which nothing is known."""
 
-    def __init__(self, most: int = constants.TAKEN_MOST) -> None:
+    def __init__(self, most: int = constants.MAX_REMEMBERED_ORDERS) -> None:
         self.most = most
         self.sequences: dict[bytes, int] = {}  # digest -> sequence, oldest first
         self.floor = 0
--- a/mothshed/control_plane/token_bucket.py
+++ b/mothshed/control_plane/token_bucket.py
@@ -32,7 +32,7 @@
     def take(self, most: int, now: float) -> int:
         """Take as many whole tokens as there are, `most` at most."""
         self.fill(now)
-        taken = min(most, int(self.level + constants.ROUNDING))
+        taken = min(most, int(self.level + constants.CLOCK_ROUNDING_ERROR_S))
         self.level = max(0.0, self.level - taken)
         return taken
 
--- a/mothshed/control_plane/usage_duty.py
+++ b/mothshed/control_plane/usage_duty.py
@@ -27,7 +27,7 @@
     def on_usage(self, sender, body):
         member = self.member
         if not member.is_leader:
-            fresh = member.leader and self.desk.now() - member.heard < constants.LEADER_FRESH
+            fresh = member.leader and self.desk.now() - member.heard < constants.LEADER_HINT_MAX_AGE_S
             self.desk.tell(
                 sender,
                 "look_elsewhere",
@@ -52,8 +52,8 @@
     def usage(self, name, role, slots):
         """(running, waiting, slots) as the split weighs them, smoothed over a second or two."""
         now = self.desk.now()
-        if self.smoothed_at is None or now - self.smoothed_at > constants.USAGE_BEAT:
-            keep = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.USAGE_HALF)
+        if self.smoothed_at is None or now - self.smoothed_at > constants.LOAD_REPORT_INTERVAL_S:
+            keep = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.LOAD_HALF_LIFE_S)
             loads = self.sums()
             sums = {name: (load.requests, sum(load.reading)) for name, load in loads.items()}
             self.smooth = {
@@ -64,7 +64,7 @@
             self.observe_writers(loads)
         run, tokens = self.smooth.get(name, (0, 0))
         if role == "prefill":
-            return tokens / constants.READ_PACE, 0, constants.READ_FULL
+            return tokens / constants.PREFILL_TOKENS_PER_S, 0, constants.PREFILL_FULL_QUEUE_S
         return run, 0, self.capacity(name).full_at(slots)
 
     def capacity(self, name: str) -> writer_capacity.WriterCapacity:
@@ -75,7 +75,7 @@
         """Take what the events of running streams tell, one sample for each replica with enough of them."""
         samples: dict[str, list[tuple[float, float]]] = {}
         for name, load in loads.items():
-            if load.events >= constants.CAPACITY_EVENTS:
+            if load.events >= constants.MIN_CAPACITY_EVENTS:
                 sample = (self.smooth[name][0], load.events_s / load.events)
                 samples.setdefault(self.service_of(name), []).append(sample)
         for service, rows in samples.items():
--- a/mothshed/control_plane/writer_capacity.py
+++ b/mothshed/control_plane/writer_capacity.py
@@ -3,9 +3,9 @@
 A token comes the later the more requests run beside it, and by how much depends on the engine: one takes thrice
 the time with half of its slots taken, another hardly more with all of them taken. So a line is fitted through
 what is observed: seconds between two events, against requests running. A writer counts as full where the line
-has come to SLOW_FULL times its start, or with all its slots taken.
+has come to DECODE_FULL_SLOWDOWN_RATIO times its start, or with all its slots taken.
 
-Until enough is observed the line of an engine is assumed that is full at RUN_FULL of its slots.
+Until enough is observed the line of an engine is assumed that is full at DECODE_FULL_SLOT_RATIO of its slots.
 """
 
 import collections.abc
@@ -50,7 +50,7 @@
         """Take samples of one moment, one for each writer: requests running, and mean seconds between events."""
         now = self.now()
         if self.observed_at is not None:
-            self.moments.fade(0.5 ** ((now - self.observed_at) / constants.CAPACITY_HALF))
+            self.moments.fade(0.5 ** ((now - self.observed_at) / constants.CAPACITY_HALF_LIFE_S))
         self.observed_at = now
         for running, gap_s in samples:
             if gap_s > 0:
@@ -59,25 +59,29 @@
     def full_at(self, slots: float) -> float:
         """The requests running at which a writer with so many slots counts as full."""
         most = float(slots)
-        assumed = (constants.SLOW_FULL - 1) / (constants.RUN_FULL * slots)  # growth per request, of the idle gap
+        assumed = (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / (
+            constants.DECODE_FULL_SLOT_RATIO * slots
+        )  # growth per request, of the idle gap
         if self.moments.weight <= 0:
-            return (constants.SLOW_FULL - 1) / assumed
+            return (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / assumed
         start, growth = self.line(assumed)
         if start <= 0:
-            return (constants.SLOW_FULL - 1) / assumed
-        if growth * most <= (constants.SLOW_FULL - 1) * start:
+            return (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / assumed
+        if growth * most <= (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * start:
             return most
-        return max(constants.FULL_LEAST * most, (constants.SLOW_FULL - 1) * start / growth)
+        return max(
+            constants.MIN_DECODE_FULL_SLOT_RATIO * most, (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * start / growth
+        )
 
     def line(self, assumed: float) -> tuple[float, float]:
         """(seconds between events of an idle writer, their growth per request).
 
-        assumed: that growth as a share of the former, which counts as much as CAPACITY_PRIOR of observed spread.
+        assumed: that growth as a share of the former, which counts as much as CAPACITY_PRIOR_SPREAD of observed spread.
         """
         sums = self.moments
         running, gap = sums.running / sums.weight, sums.gap / sums.weight
         spread = max(0.0, sums.running_squared - sums.running * running)
         together = sums.running_gap - sums.running * gap
         prior = assumed * gap / (1 + assumed * running)
-        growth = (together + constants.CAPACITY_PRIOR * prior) / (spread + constants.CAPACITY_PRIOR)
+        growth = (together + constants.CAPACITY_PRIOR_SPREAD * prior) / (spread + constants.CAPACITY_PRIOR_SPREAD)
         return gap - growth * running, growth
--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -35,15 +35,17 @@
         again: it was admitted before and its first send was bounced; it waits anew, first
         of its tenant and past the bounds.
         """
-        until = min((self.desk.now() if again else request.born) + constants.QUEUE_WAIT, request.cutoff)
+        until = min((self.desk.now() if again else request.born) + constants.MAX_QUEUE_WAIT_S, request.cutoff)
         with self.lock:
             if not self.waiting():
                 plan = self.take(request.tenant, share, make_plan)
                 if plan:
                     return plan
             queue = self.queues.setdefault(request.tenant, collections.deque())
-            if not again and (self.waiting() >= constants.QUEUE_MOST or len(queue) >= constants.QUEUE_TENANT):
-                raise verdict.Bounce(503, "queue is full", constants.RETRY_AFTER, "queue_full")
+            if not again and (
+                self.waiting() >= constants.MAX_QUEUED_REQUESTS or len(queue) >= constants.MAX_TENANT_QUEUED_REQUESTS
+            ):
+                raise verdict.Bounce(503, "queue is full", constants.RETRY_AFTER_S, "queue_full")
             ticket = Ticket(request.tenant, share, self.desk.gate())
             queue.insert(0 if again else len(queue), ticket)
         try:
@@ -65,9 +67,9 @@
                     if plan:
                         return plan
             if self.desk.now() >= until:
-                raise verdict.Bounce(503, "no free pair of replicas", constants.RETRY_AFTER, "no_pair")
+                raise verdict.Bounce(503, "no free pair of replicas", constants.RETRY_AFTER_S, "no_pair")
             ticket.gate.clear()
-            ticket.gate.wait(min(constants.PLACE_BEAT, max(0.001, until - self.desk.now())))
+            ticket.gate.wait(min(constants.PLACEMENT_INTERVAL_S, max(0.001, until - self.desk.now())))
 
     def head(self):
         tenants = [t for t, q in self.queues.items() if q]
--- a/mothshed/data_plane/budget.py
+++ b/mothshed/data_plane/budget.py
@@ -36,17 +36,21 @@
 
     def trim(self):
         now = self.desk.now()
-        while self.first and self.first[0] <= now - constants.BUDGET_SPAN:
+        while self.first and self.first[0] <= now - constants.RETRY_BUDGET_WINDOW_S:
             self.first.popleft()
-        for rows, span in ((self.more, constants.BUDGET_SPAN), (self.loans, constants.LOAN_LIFE)):
+        for rows, span in ((self.more, constants.RETRY_BUDGET_WINDOW_S), (self.loans, constants.LOAN_TTL_S)):
             while rows and rows[0][0] <= now - span:
                 rows.popleft()
 
     def own(self):
         self.trim()
-        grown = self.desk.now() - self.born > constants.SLACK_AFTER
-        slack = constants.SLACK_SHARE * self.slack / max(constants.SLACK_LEAST, self.sharers()) if grown else 0.0
-        return constants.BUDGET_SHARE * len(self.first) + slack - sum(n for at, n in self.more)
+        grown = self.desk.now() - self.born > constants.RETRY_SLACK_MIN_AGE_S
+        slack = (
+            constants.RETRY_SLACK_RATIO * self.slack / max(constants.MIN_SLACK_ROUTERS, self.sharers())
+            if grown
+            else 0.0
+        )
+        return constants.RETRY_BUDGET_RATIO * len(self.first) + slack - sum(n for at, n in self.more)
 
     def room(self):
         """Extra sends that may be done now, loans included."""
@@ -75,21 +79,21 @@
             return True
         with self.lock:
             now, goals = self.desk.now(), self.routers()
-            if now - self.asked_at < constants.BORROW_BEAT or not goals:
+            if now - self.asked_at < constants.BORROW_INTERVAL_S or not goals:
                 return False
             self.asked_at, self.need = now, count
-            need = (count - self.room()) / max(1, min(constants.LENDERS, len(goals) // 2))
+            need = (count - self.room()) / max(1, min(constants.MAX_LENDERS, len(goals) // 2))
             self.mark += 1
             self.gate.clear()
         for goal in goals:
             self.desk.tell(goal, "borrow", mark=self.mark, need=need)
-        self.gate.wait(constants.BORROW_WAIT)
+        self.gate.wait(constants.BORROW_TIMEOUT_S)
         return self.take(count)
 
     def on_borrow(self, sender, body):
         with self.lock:
             give = min(self.own(), body["need"])
-            if give <= 0 or self.desk.now() - self.asked_at < constants.BORROW_WAIT:  # short of it itself
+            if give <= 0 or self.desk.now() - self.asked_at < constants.BORROW_TIMEOUT_S:  # short of it itself
                 return
             self.more.append((self.desk.now(), give))
         self.desk.tell(sender, "lend", mark=body["mark"], amount=give)
--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -79,19 +79,19 @@
             self.chart.step("break")
             raise verdict.StreamBroken(str(e)) from e
         held = self.ran and not self.request.safe
-        if held or self.tries >= constants.SENDS_MOST or not self.may_send_more():
+        if held or self.tries >= constants.MAX_PREFILL_ATTEMPTS or not self.may_send_more():
             self.end()
 
     def may_send_more(self):
         """Takes from the budget what doing it all over costs; waits for it as long as for a place."""
         cost = sum(1 for n in self.sends.values() if n)
-        until = min(self.request.cutoff, self.request.born + constants.QUEUE_WAIT)
+        until = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
         while self.desk.now() < self.request.cutoff:
             if self.router.budget.extra(cost):
                 return True
             if self.desk.now() >= until:
                 return False
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
         return False
 
     def end(self):
@@ -100,7 +100,7 @@
             raise verdict.RequestFailure("request failed", self.fails)
         self.chart.step("bounce")
         raise verdict.Bounce(
-            503, self.fails[-1].reason if self.fails else "no pair", constants.RETRY_AFTER, "sends_failed"
+            503, self.fails[-1].reason if self.fails else "no pair", constants.RETRY_AFTER_S, "sends_failed"
         )
 
     def admit(self):
--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -36,7 +36,7 @@
         self.fails, self.without = [], set()
         self.ran = False  # it runs somewhere, did, or may have
         self.over = False  # nothing more is begun, whatever is left
-        self.retry = constants.BOUNCE_RETRY
+        self.retry = constants.ROUTE_RETRY_AFTER_S
         self.own = None  # (reply, body): a replica's own failure, to be passed on
         self.prefills = self.decodes = 0  # written to a replica
         self.shed = 0  # first prefills that were turned away: they count among the tries
@@ -216,7 +216,7 @@
             if self.reply:
                 span = self.ask.cutoff - self.desk.now()
                 if self.again and self.last is not None and self.decodes < self.route["tries"]:
-                    span = min(span, constants.SILENT_NEXT)
+                    span = min(span, constants.NEXT_EVENT_TIMEOUT_S)
                 self.reply.patience(span)
             try:
                 with self.pauses.watch(pauses_module.Cause.REPLICA):
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -50,7 +50,7 @@
     def note_caller(self, kind: str, stage: str) -> None:
         """Count what is done over half a second after the caller was seen to have left."""
         left_at = self.ask.caller.left_at()
-        if left_at is not None and self.desk.now() - left_at > constants.CALLER_LEFT:
+        if left_at is not None and self.desk.now() - left_at > constants.CLIENT_DISCONNECT_GRACE_S:
             self.router.journal.add(kind, outcome=stage, request=self.ask.id)
 
     def staying(self, place):
@@ -83,10 +83,10 @@
 
     def wait_for_lease(self) -> None:
         """A prompt that was read waits a little for a lease that has just run out."""
-        until = self.desk.now() + min(self.left(), constants.LEASE_PATIENCE)
+        until = self.desk.now() + min(self.left(), constants.DELIVERY_LEASE_TIMEOUT_S)
         while self.router.lease.sequence() is None and self.desk.now() < until:
             self.stop_if_caller_left()
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
 
     def may_send(self, role):
         """Takes an extra send from the budget if the next one is beyond the first."""
@@ -117,7 +117,11 @@
     def prefill(self, pair):
         """The handle, or None when the writer shall read for itself."""
         began, name, unread = self.desk.now(), pair.reader.name, pair.unread
-        read = min(max(constants.READ_FACTOR * pair.expected, constants.READ_LEAST), constants.READ_MOST, self.left())
+        read = min(
+            max(constants.PREFILL_TIMEOUT_RATIO * pair.expected, constants.MIN_PREFILL_TIMEOUT_S),
+            constants.MAX_PREFILL_TIMEOUT_S,
+            self.left(),
+        )
         try:
             self.may_send("prefill")
             urgency = identity.urgency_for_replica(self.ask.urgency, pair.rank)
@@ -152,8 +156,12 @@
     def patience_first(self):
         """How long the first event may take before a repeatable request goes elsewhere."""
         if self.again and self.decodes + 1 < self.route["tries"] and not self.last:
-            reading = self.ask.tokens / constants.READ_PACE / constants.WRITER_PACE if not self.handle else 0.0
-            return min(self.left(), constants.SILENT_FIRST + 2 * reading)
+            reading = (
+                self.ask.tokens / constants.PREFILL_TOKENS_PER_S / constants.DECODE_PREFILL_RATIO
+                if not self.handle
+                else 0.0
+            )
+            return min(self.left(), constants.FIRST_EVENT_TIMEOUT_S + 2 * reading)
         return self.left()
 
     def may_read_itself(self, e: verdict.SendFailure, pair: pair_module.Pair) -> bool:
--- a/mothshed/data_plane/frees.py
+++ b/mothshed/data_plane/frees.py
@@ -17,7 +17,7 @@
     def __init__(self, desk, journal, free=None):
         self.desk, self.journal = desk, journal
         self.free = free or replica_adapter.free
-        self.queue = collections.deque(maxlen=constants.FREES_MOST)
+        self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
         self.late = []  # (due, pause, handle): failed once, tried again
         self.gate = desk.gate()
         self.settled = lambda handle: None  # told once a free is done or pointless
@@ -28,13 +28,13 @@
 
     def run(self):
         while True:
-            self.gate.wait(constants.FREE_BEAT)
+            self.gate.wait(constants.HANDLE_RELEASE_RETRY_INTERVAL_S)
             self.gate.clear()
             now = self.desk.now()
             due = [row[1:] for row in self.late if row[0] <= now]
             self.late = [row for row in self.late if row[0] > now]
             while self.queue:
-                due.append((constants.FREE_BEAT, self.queue.popleft()))
+                due.append((constants.HANDLE_RELEASE_RETRY_INTERVAL_S, self.queue.popleft()))
             for span, handle in due:
                 self.send(handle, span)
 
@@ -44,7 +44,7 @@
         except web.WebFault:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
-        if done or self.desk.now() - handle.born >= constants.FREE_LIFE:
+        if done or self.desk.now() - handle.born >= constants.HANDLE_RELEASE_TTL_S:
             self.settled(handle)
         else:
             self.late.append((self.desk.now() + span, 2 * span, handle))
--- a/mothshed/data_plane/guard.py
+++ b/mothshed/data_plane/guard.py
@@ -5,7 +5,7 @@
 the blocks are freed it says so. What is still owed past that moment belongs to a
 router that is gone or cut off, and the neighbour frees it. Freeing what is already
 free does no harm, and past its cutoff a request needs no memory, so nothing has to
-be agreed here. Bounded: past GUARD_MOST the oldest are dropped and left to lapse.
+be agreed here. Bounded: past MAX_BACKUP_RELEASES the oldest are dropped and left to lapse.
 """
 
 import collections
@@ -42,9 +42,9 @@
         self.desk.tell(self.goal, "paid", request=handle.request, replica=handle.replica)
 
     def on_owe(self, sender, body):
-        due = self.desk.now() + min(body["left"], constants.CUTOFF_MOST) + constants.GUARD_SLACK
+        due = self.desk.now() + min(body["left"], constants.MAX_CUTOFF_S) + constants.BACKUP_RELEASE_DELAY_S
         self.kept[(sender, body["request"], body["replica"])] = (due, body["url"], body["engine"])
-        while len(self.kept) > constants.GUARD_MOST:
+        while len(self.kept) > constants.MAX_BACKUP_RELEASES:
             self.kept.popitem(last=False)
 
     def on_paid(self, sender, body):
@@ -56,4 +56,4 @@
             due, url, engine = self.kept.pop(key)
             self.journal.add("guard", outcome="freed", replica=key[2])
             self.frees.order(replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now))
-        self.desk.beat(constants.GUARD_BEAT, self.tick)
+        self.desk.beat(constants.BACKUP_RELEASE_INTERVAL_S, self.tick)
--- a/mothshed/data_plane/identity.py
+++ b/mothshed/data_plane/identity.py
@@ -77,7 +77,7 @@
 def urgency(document: dict[str, typing.Any], route: dict[str, typing.Any], identity: Identity | None) -> int:
     """The urgency of a request, 0 first: its tenant's, or else its route's."""
     tenant = document["tenants"].get(identity.tenant, {}) if identity else {}
-    return int(tenant.get("urgency", route.get("urgency", constants.URGENCY_USUAL)))
+    return int(tenant.get("urgency", route.get("urgency", constants.DEFAULT_URGENCY_RANK)))
 
 
 def urgency_for_replica(urgency_of_request: int | None, rank: int) -> int:
@@ -90,4 +90,4 @@
     """
     if urgency_of_request is None:
         return rank
-    return min(urgency_of_request, constants.URGENCY_LEVELS - 1) * constants.RANKS + rank
+    return min(urgency_of_request, constants.URGENCY_LEVEL_COUNT - 1) * constants.PREFILL_RANK_COUNT + rank
--- a/mothshed/data_plane/intake.py
+++ b/mothshed/data_plane/intake.py
@@ -113,6 +113,6 @@
         span = float(text) / 1000
     except ValueError as e:
         raise bad("x-cutoff-ms must be a number") from e
-    if not math.isfinite(span) or not 0 < span <= constants.CUTOFF_MOST:
-        raise bad(f"x-cutoff-ms must be above 0 and at most {constants.CUTOFF_MOST * 1000:.0f}")
+    if not math.isfinite(span) or not 0 < span <= constants.MAX_CUTOFF_S:
+        raise bad(f"x-cutoff-ms must be above 0 and at most {constants.MAX_CUTOFF_S * 1000:.0f}")
     return span
--- a/mothshed/data_plane/outcomes.py
+++ b/mothshed/data_plane/outcomes.py
@@ -36,7 +36,7 @@
     """This router's own counts, by replica."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
-        self.counts = fading.FadingSums(now, constants.OUTCOME_HALF, kinds=2)
+        self.counts = fading.FadingSums(now, constants.OUTCOME_HALF_LIFE_S, kinds=2)
 
     def answered(self, name: str) -> None:
         """A request was answered there, with success or by a refusal of its content."""
@@ -64,9 +64,9 @@
     for name, own in ended.items():
         others = total - own
         # the others count as having failed at least a little, so that a handful of good answers proves no health
-        usual = (others.failed + constants.FAILED_PRIOR) / (others.answered + others.failed + 1.0)
-        worst = max(constants.FAILED_SHARE, constants.FAILED_TIMES * usual)
-        if own.failed >= constants.FAILED_LEAST and own.failed_share() >= min(1.0, worst):
+        usual = (others.failed + constants.FAILURE_PRIOR_REQUESTS) / (others.answered + others.failed + 1.0)
+        worst = max(constants.MIN_FAILURE_RATIO, constants.FAILURE_OUTLIER_RATIO * usual)
+        if own.failed >= constants.MIN_FAILED_REQUESTS and own.failed_share() >= min(1.0, worst):
             found.append(name)
     found.sort(key=lambda name: -ended[name].failed_share())
     return found[: len(ended) // 2]
--- a/mothshed/data_plane/pairing.py
+++ b/mothshed/data_plane/pairing.py
@@ -68,7 +68,7 @@
         names,
         default=None,
         key=lambda n: (
-            round(fill(scene, scene.readers, n) - constants.CACHE_WEIGHT * cached(scene, n), 1),
+            round(fill(scene, scene.readers, n) - constants.CACHE_WEIGHT_SLOTS * cached(scene, n), 1),
             near(scene, n),
             n,
         ),
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -39,12 +39,12 @@
 
     def note_answer(self, took_s: float) -> None:
         """An answer took this long."""
-        self.answer_s = max(took_s, self.answer_s * constants.PERMIT_ANSWER_FADES)
+        self.answer_s = max(took_s, self.answer_s * constants.PERMIT_LATENCY_DECAY_RATIO)
 
     def again_s(self) -> float:
         """After how long an ask is made anew. Sooner than answers come, requests would be counted twice."""
-        usual_s = constants.PERMIT_AGAIN_ANSWERS * self.answer_s
-        return min(constants.PERMIT_AGAIN_MOST, max(constants.PERMIT_AGAIN, usual_s))
+        usual_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
+        return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, usual_s))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -61,10 +61,10 @@
     def __init__(self, environment: typing.Any, leaders: leaders_module.Leaders, journal: typing.Any) -> None:
         self.environment, self.leaders, self.journal = environment, leaders, journal
         self.lock = threading.RLock()
-        self.parts = {part: PartAsks() for part in range(1, constants.PARTS)}
+        self.parts = {part: PartAsks() for part in range(1, constants.PART_COUNT)}
         self.next_tokens: dict[str, NextToken] = {}
         self.sequence = 0
-        self.mark = int(environment.now() * constants.MARKS_A_SECOND)  # no life before used the same
+        self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # no life before used the same
         for part in self.parts:
             environment.hear("permits", self.on_permits, part)
         leaders.changed.append(self.leader_changed)
@@ -90,7 +90,7 @@
             return
         if waiter.retry_s is not None:
             raise over_limit(waiter.retry_s)
-        raise verdict.Bounce(503, "no permit", constants.PERMIT_RETRY_AFTER, "no_permit")
+        raise verdict.Bounce(503, "no permit", constants.PERMIT_RETRY_AFTER_S, "no_permit")
 
     def enter(self, tenant: str, sequence: int, waiter: Waiter) -> None:
         """Let one more request of a tenant wait for a permit, and ask for it unless an ask is under way."""
@@ -119,7 +119,7 @@
                 return
             if caller is not None and caller.has_left():
                 raise verdict.CallerLeft()
-            waiter.gate.wait(min(left, constants.PERMIT_AGAIN))
+            waiter.gate.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
     def forget(self, tenant: str, waiter: Waiter) -> None:
         """The request waits no more."""
@@ -140,7 +140,7 @@
         self.mark += 1
         asks.unanswered = self.mark
         asks.asked_at[self.mark] = now
-        if len(asks.asked_at) > constants.PERMIT_MARKS:
+        if len(asks.asked_at) > constants.MAX_PENDING_PERMIT_REQUESTS:
             del asks.asked_at[min(asks.asked_at)]
         for rows in asks.waiting.values():
             for waiter in rows:
@@ -208,5 +208,5 @@
 
 def over_limit(retry_s: float) -> verdict.Bounce:
     """The refusal of a request beyond its tenant's limit."""
-    retry_s = max(constants.PERMIT_RETRY_LEAST, round(retry_s, 3))
+    retry_s = max(constants.MIN_PERMIT_RETRY_AFTER_S, round(retry_s, 3))
     return verdict.Bounce(429, "the tenant's limit is reached", retry_s, "over_limit")
--- a/mothshed/data_plane/place_wait.py
+++ b/mothshed/data_plane/place_wait.py
@@ -32,7 +32,7 @@
             if self.desk.now() >= until:
                 self.retry = found.retry_after_s
                 self.give_in(found.reason)
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
 
     def take_permit(self, until: float) -> None:
         """Take the permit that this request needs of its tenant, once; raises Bounce if there is none."""
@@ -56,7 +56,7 @@
         """A pair of places under the lease that runs now, if any; raises Bounce without a route or a known key."""
         sequence, document = self.router.lease.current()
         if sequence is None:
-            return NoPlace("no lease", constants.BOUNCE_LEASE)
+            return NoPlace("no lease", constants.NO_LEASE_RETRY_AFTER_S)
         table = self.router.tables.of(sequence, document)
         route = table.match(self.ask.host, self.ask.target)
         if route is None:
@@ -65,14 +65,14 @@
         known = self.ask.identity = identity.identify(document, table.keys, route, self.ask.key_digest)
         self.ask.urgency = identity.urgency(document, route, known) if known else None
         if self.lacks_permit():
-            return NoPlace("no permit", constants.PERMIT_RETRY_AFTER)
+            return NoPlace("no permit", constants.PERMIT_RETRY_AFTER_S)
         pool = routes.pool_of(route, self.desk.random)
         self.selector = document["pools"][pool]["selector"]
         try:
             pair = self.router.placing.pair(sequence, document, pool, self.ask, self.without, alone)
         except pair_module.Full as full:
-            return NoPlace("queues are full", max(constants.BOUNCE_LEAST, full.span))
-        return pair or NoPlace("no replica", constants.BOUNCE_RETRY)
+            return NoPlace("queues are full", max(constants.MIN_QUEUE_FULL_RETRY_AFTER_S, full.span))
+        return pair or NoPlace("no replica", constants.ROUTE_RETRY_AFTER_S)
 
     def note_late(self) -> None:
         """Count an answer that begins past its aim, by the stage that took longest."""
--- a/mothshed/data_plane/placing.py
+++ b/mothshed/data_plane/placing.py
@@ -34,11 +34,11 @@
         self.lock = threading.RLock()
         self.parts = prompt_parts.Parts()
         # name -> tokens this router has it read, by rank
-        self.reading: dict[str, list[float]] = collections.defaultdict(lambda: [0] * constants.RANKS)
+        self.reading: dict[str, list[float]] = collections.defaultdict(lambda: [0] * constants.PREFILL_RANK_COUNT)
         # part -> (when reported, what all other routers have at its replicas)
         self.others: dict[int, tuple[float, replica_load.Loads]] = {}
         self.outcomes = outcomes.Outcomes(desk.now)
-        self.event_times = fading.FadingSums(desk.now, constants.OUTCOME_HALF, kinds=2)  # events, s between them
+        self.event_times = fading.FadingSums(desk.now, constants.OUTCOME_HALF_LIFE_S, kinds=2)  # events, s between them
         self.paces: dict[str, float] = {}  # name -> tokens/s as measured
 
     def take_others(self, part: int, rows: replica_load.Loads) -> None:
@@ -47,8 +47,8 @@
         with self.lock:
             self.others[part] = (now, rows)
         for name, load in rows.items():
-            if load.out_s > constants.USAGE_BEAT and name not in self.replicas.fails:
-                self.replicas.doubt(name, min(load.out_s, constants.OUT_MOST))
+            if load.out_s > constants.LOAD_REPORT_INTERVAL_S and name not in self.replicas.fails:
+                self.replicas.doubt(name, min(load.out_s, constants.MAX_EXCLUSION_S))
 
     def running(self, name: str) -> float:
         """Requests that all routers have at a replica, as far as is known."""
@@ -61,7 +61,7 @@
     def reported(self, name: str) -> list[replica_load.ReplicaLoad]:
         """What others were last reported to have at a replica, unless that is too old."""
         now = self.desk.now()
-        return [rows[name] for when, rows in self.others.values() if name in rows and now - when < constants.USAGE_LIFE]
+        return [rows[name] for when, rows in self.others.values() if name in rows and now - when < constants.LOAD_TTL_S]
 
     def queued(self, name: str) -> list[float]:
         """Tokens being read at a replica over all routers, by rank."""
@@ -70,13 +70,13 @@
 
     def pace(self, name: str) -> float:
         """Tokens a second that a replica reads."""
-        return self.paces.get(name, float(constants.READ_PACE))
+        return self.paces.get(name, float(constants.PREFILL_TOKENS_PER_S))
 
     def measured(self, name: str, tokens: float, queued: float, span: float) -> None:
         """A prefill of so many unread tokens took span seconds; those that queued say nothing of the pace."""
-        if tokens > constants.PACE_LEAST and queued < tokens / 10:
-            pace = tokens / max(span - constants.READ_BASE, 0.001)
-            pace = min(max(pace, constants.READ_PACE / 4), constants.READ_PACE * 1.25)
+        if tokens > constants.MIN_PACE_SAMPLE_TOKENS and queued < tokens / 10:
+            pace = tokens / max(span - constants.PREFILL_BASE_S, 0.001)
+            pace = min(max(pace, constants.PREFILL_TOKENS_PER_S / 4), constants.PREFILL_TOKENS_PER_S * 1.25)
             self.paces[name] = 0.8 * self.pace(name) + 0.2 * pace
 
     def unread(self, name: str, ask: Ask, home: str | None) -> int:
@@ -93,17 +93,17 @@
 
     def far(self, name: str, zone: str) -> float:
         """Seconds by which a replica is dearer for not being in a zone."""
-        return 0.0 if self.replicas.rows[name]["cell"] == zone else constants.FAR_COST
+        return 0.0 if self.replicas.rows[name]["cell"] == zone else constants.CROSS_ZONE_COST_S
 
     def reader(self, names: list[str], ask: Ask) -> Reading:
         """The reader that would have read the prompt soonest."""
         home, rows = self.home(names, ask), []
         for name in names:
             unread = self.unread(name, ask, home)
-            alone = unread / self.pace(name) + constants.READ_BASE
+            alone = unread / self.pace(name) + constants.PREFILL_BASE_S
             time = self.wait(name, self.pace(name), self.rank(ask, alone)) + alone
             again = max(0, unread - (ask.parts[-1][1] if ask.parts else unread))  # shared parts read anew
-            dear = constants.AGAIN_COST * again / self.pace(name)
+            dear = constants.REPEATED_PREFILL_RATIO * again / self.pace(name)
             rows.append((time + dear + self.far(name, self.zone), (name, unread, time)))
         return min(rows)[1]
 
@@ -120,20 +120,22 @@
         rows = []
         for name in names:
             unread = max(0, ask.tokens - self.parts.held(name, ask.parts)) + self.being_read(name)
-            time = unread / (constants.WRITER_PACE * constants.READ_PACE) + constants.READ_BASE
-            rows.append((time + self.running(name) * constants.RUN_COST + self.far(name, self.zone), (name, time)))
+            time = unread / (constants.DECODE_PREFILL_RATIO * constants.PREFILL_TOKENS_PER_S) + constants.PREFILL_BASE_S
+            rows.append(
+                (time + self.running(name) * constants.RUNNING_COST_S + self.far(name, self.zone), (name, time))
+            )
         return min(rows)[1]
 
     def by_itself(self, ask: Ask, handed: float, alone: float) -> bool:
         """Whether the writer shall read: a short prompt, and it is sooner."""
-        return bool(ask.tokens <= constants.PROMPT_SHORT and alone < handed)
+        return bool(ask.tokens <= constants.SHORT_PROMPT_TOKENS and alone < handed)
 
     def rank(self, ask: Ask, alone: float) -> int:
         """Short readings first: they hold nobody up. Then those with little time to spare, then the rest."""
-        if alone <= constants.READ_SHORT:
+        if alone <= constants.SHORT_PREFILL_S:
             return 0
-        spare = ask.route.get("aim_s", constants.ADMIT_USUAL) - alone - constants.READ_REST
-        return 1 if 0 <= spare < constants.READ_TIGHT else 2
+        spare = ask.route.get("aim_s", constants.DEFAULT_AIM_S) - alone - constants.FIRST_EVENT_OVERHEAD_S
+        return 1 if 0 <= spare < constants.TIGHT_PREFILL_SPARE_S else 2
 
     def wait(self, name: str, pace: float, rank: int) -> float:
         """Seconds until what goes before a reading of this rank is read at a replica."""
@@ -146,7 +148,7 @@
     def require_free_slot(self, names: list[str]) -> None:
         """Raises Full if every one of these replicas is known to have all its slots taken."""
         if not any(self.has_free_slot(name) for name in names):
-            raise pair_module.Full(constants.BOUNCE_LEAST)
+            raise pair_module.Full(constants.MIN_QUEUE_FULL_RETRY_AFTER_S)
 
     def not_failing(self, names: list[str]) -> list[str]:
         """These replicas of one pool without those that fail far more requests than the others."""
@@ -163,13 +165,13 @@
         """Raises Full if a prompt that joined the queue now would come to its aim too late."""
         self.require_free_slot(writers)
         wait = self.wait(name, pace, self.rank(ask, unread / pace))
-        most = constants.ADMIT_SHARE * ask.route.get("aim_s", constants.ADMIT_USUAL)
+        most = constants.ADMISSION_QUEUE_RATIO * ask.route.get("aim_s", constants.DEFAULT_AIM_S)
         if wait > most:
             raise pair_module.Full(wait - most)
 
     def admit_alone(self, ask: Ask, writer: str, writers: list[str]) -> None:
         """Raises Full if a prompt that this writer read by itself would come to its aim too late."""
-        self.admit(ask, writer, constants.WRITER_PACE * constants.READ_PACE, ask.tokens, writers)
+        self.admit(ask, writer, constants.DECODE_PREFILL_RATIO * constants.PREFILL_TOKENS_PER_S, ask.tokens, writers)
 
     def pair(
         self,
@@ -227,7 +229,7 @@
         if reader:
             self.replicas.begin(reader)
         name = reader or writer
-        queued, pace = self.being_read(name), self.pace(name) * (1.0 if reader else constants.WRITER_PACE)
+        queued, pace = self.being_read(name), self.pace(name) * (1.0 if reader else constants.DECODE_PREFILL_RATIO)
         rank = self.rank(ask, unread / pace)
         self.reading[name][rank] += unread
         place = self.replicas.place
--- a/mothshed/data_plane/prompt_parts.py
+++ b/mothshed/data_plane/prompt_parts.py
@@ -29,7 +29,7 @@
         for key, _tokens in parts:
             self.kept[(name, key)] = True
             self.kept.move_to_end((name, key))
-        while len(self.kept) > constants.KNOWN_PARTS:
+        while len(self.kept) > constants.MAX_KNOWN_PROMPT_PARTS:
             self.kept.popitem(last=False)
 
     def held(self, name: str, parts: list[Part]) -> int:
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -73,7 +73,7 @@
         router, caller = self.router, environ.get("mothshed.caller") or caller_module.Caller()
         born = self.desk.now() if caller.arrived is None else caller.arrived
         if not router.enter():
-            return self.fault(start, 503, "this router is stopping", constants.BOUNCE_RETRY)
+            return self.fault(start, 503, "this router is stopping", constants.ROUTE_RETRY_AFTER_S)
         way = None
         try:
             ask = self.read(environ, born, caller)
@@ -93,11 +93,11 @@
         """The request; Bounce when it can't be delivered, CallerLeft when nobody waits for it."""
         raw, router = environ["mothshed.headers"], self.router
         limits = (router.lease.document() or {}).get("limits", {})
-        data = front.body_of(environ, limits.get("body_bytes", constants.BODY_MOST))
+        data = front.body_of(environ, limits.get("body_bytes", constants.MAX_BODY_BYTES))
         target, host = environ["REQUEST_URI"], raw.get("Host", "")
         sequence, document = router.wait_for_lease(caller)
         if sequence is None or document is None:
-            raise verdict.Bounce(503, "no configuration in force", constants.BOUNCE_LEASE, "no_lease")
+            raise verdict.Bounce(503, "no configuration in force", constants.NO_LEASE_RETRY_AFTER_S, "no_lease")
         table = router.tables.of(sequence, document)
         route = table.match(host, target)
         if route is None:
@@ -125,10 +125,12 @@
         )
         if caller_identity is None:
             ask.identity_headers = {k: v for k, v in passed(raw).items() if k.lower() in withheld}
-        ask.patience = constants.PLACE_SHARE * route["aim_s"] if "aim_s" in route else constants.PLACE_USUAL
-        ask.patience = max(constants.PLACE_LEAST, ask.patience - (self.desk.now() - born))
+        ask.patience = (
+            constants.PLACEMENT_WAIT_RATIO * route["aim_s"] if "aim_s" in route else constants.DEFAULT_PLACEMENT_WAIT_S
+        )
+        ask.patience = max(constants.MIN_PLACEMENT_WAIT_S, ask.patience - (self.desk.now() - born))
         ask.caller = caller
-        caller.shut_after(ask.cutoff + constants.ANSWER_SLACK)
+        caller.shut_after(ask.cutoff + constants.RESPONSE_GRACE_S)
         return ask
 
     def fault(self, start, status, reason, retry=0, code="not_run", headers=()):
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -90,9 +90,9 @@
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
         """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
-        until = self.desk.now() + constants.LEASE_PATIENCE
+        until = self.desk.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.desk.now() < until and not caller.has_left():
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
             raise verdict.CallerLeft()
         return self.lease.current()
@@ -107,7 +107,7 @@
         while self.desk.now() < until:
             if not self.busy():
                 return True
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
         return False
 
     def busy(self):
@@ -122,8 +122,8 @@
         """What the configuration in force says of user agents' heads and idle connections."""
         limits = (self.lease.document() or {}).get("limits", {})
         if self.server and limits:
-            self.server.max_request_header_size = limits.get("head_bytes", constants.HEAD_MOST)
-            self.server.limit_idle(limits.get("idle_s", constants.IDLE_LIMIT))
+            self.server.max_request_header_size = limits.get("head_bytes", constants.MAX_HEADER_BYTES)
+            self.server.limit_idle(limits.get("idle_s", constants.DEFAULT_IDLE_TIMEOUT_S))
 
     def condition(self):
         sequence = self.lease.sequence()
@@ -147,6 +147,6 @@
 
     def front(self):
         app = route_front.RouteFront(self) if self.speech else router_front.RouterFront(self)
-        self.server = front.Server(self.settings["http"], app, constants.FRONT_THREADS)
+        self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
         return self.server
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -49,7 +49,7 @@
         headers.setdefault("x-request-id", f"made-{router.desk.random.getrandbits(64):016x}")
         if not router.enter():
             return front.fault(
-                start, 503, "this router is stopping", retry=constants.RETRY_AFTER, headers=[("Connection", "close")]
+                start, 503, "this router is stopping", retry=constants.RETRY_AFTER_S, headers=[("Connection", "close")]
             )
         try:
             request = self.read(path, environ, headers, environ.get("mothshed.caller"))
@@ -76,16 +76,16 @@
         born, data = caller.arrived if caller else router.desk.now(), front.body_of(environ)
         document = router.lease.document()
         if document is None:
-            raise verdict.Bounce(503, "no configuration yet", constants.RETRY_AFTER, "no_configuration")
+            raise verdict.Bounce(503, "no configuration yet", constants.RETRY_AFTER_S, "no_configuration")
         found = None
         if document.get("require_key"):
             sequence, document = router.wait_for_lease(caller or caller_module.Caller())
             if sequence is None:
-                raise verdict.Bounce(503, "no lease", constants.RETRY_AFTER, "no_lease")
+                raise verdict.Bounce(503, "no lease", constants.RETRY_AFTER_S, "no_lease")
             found = identity.of_caller(document, router.tables.of(sequence, document).keys, headers)
         request = intake.parse(born, path, headers, data, document, found)
         if caller:
-            caller.shut_after(request.cutoff + constants.ANSWER_SLACK)
+            caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
             request.caller = caller
         return request
 
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -24,7 +24,7 @@
 
     def sequence(self):
         """The sequence to send under, waited for a little when the lease just lapsed."""
-        until = min(self.request.cutoff, self.desk.now() + constants.LEASE_WAIT)
+        until = min(self.request.cutoff, self.desk.now() + constants.LEASE_WAIT_TIMEOUT_S)
         while True:
             self.stop_if_caller_left()
             sequence, document = self.router.lease.current()
@@ -33,7 +33,7 @@
                 return sequence, document
             if self.desk.now() >= until:
                 raise verdict.SendFailure(NOT_RUN, "no lease")
-            self.desk.pause(constants.PLACE_BEAT)
+            self.desk.pause(constants.PLACEMENT_INTERVAL_S)
 
     def check_tenant(self, sequence: int, document: dict[str, typing.Any]) -> None:
         """Asks again who the request comes from, under each newer document; raises its end if that has changed."""
@@ -45,7 +45,7 @@
         except verdict.Bounce as refusal:
             self.refuse(refusal)
         if found != request.identity:
-            self.refuse(verdict.Bounce(503, "the key's tenant has changed", constants.RETRY_AFTER, "tenant_changed"))
+            self.refuse(verdict.Bounce(503, "the key's tenant has changed", constants.RETRY_AFTER_S, "tenant_changed"))
         self.identified = sequence
 
     def refuse(self, refusal: verdict.Bounce) -> typing.NoReturn:
@@ -64,8 +64,8 @@
         try:
             sequence, document = self.sequence()
         except verdict.SendFailure as e:
-            self.refuse(verdict.Bounce(503, e.reason, constants.RETRY_AFTER, "no_lease"))
-        until = min(request.cutoff, request.born + constants.QUEUE_WAIT)
+            self.refuse(verdict.Bounce(503, e.reason, constants.RETRY_AFTER_S, "no_lease"))
+        until = min(request.cutoff, request.born + constants.MAX_QUEUE_WAIT_S)
         try:
             row = document["tenants"][request.tenant]
             self.router.permits.take(request.tenant, row, sequence, until, request.caller)
@@ -105,7 +105,7 @@
     def replan(self, plan, sequence, document):
         """The plan made anew under a newer configuration, in the place of the old one."""
         replicas, request = self.router.replicas, self.request
-        until = min(request.cutoff, self.desk.now() + constants.QUEUE_WAIT)
+        until = min(request.cutoff, self.desk.now() + constants.MAX_QUEUE_WAIT_S)
         for name in (self.reading, self.writing):
             replicas.end(name)
         self.reading = self.writing = None
@@ -123,7 +123,7 @@
             if self.desk.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
             with self.router.held_wait():
-                self.desk.pause(constants.PLACE_BEAT)
+                self.desk.pause(constants.PLACEMENT_INTERVAL_S)
 
     def prefill(self, plan):
         self.tries += 1
@@ -133,7 +133,7 @@
             if sequence != plan.sequence:
                 self.replan(plan, sequence, document)
                 continue
-            left, name = self.left() * (constants.SAFE_WAIT if self.request.safe else 1.0), self.name()
+            left, name = self.left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0), self.name()
             self.router.guard.owe(name, plan.reader, self.request.cutoff - self.desk.now())
             try:
                 self.handle = replica_adapter.prefill(
@@ -154,7 +154,7 @@
     def decode(self, plan):
         """Decodes the handle, elsewhere if bounced; returns the stream begun."""
         replicas, bounced = self.router.replicas, set()
-        until = min(self.request.cutoff, self.handle.born + constants.HANDLE_LIFE - constants.CONNECT_TIME)
+        until = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
         while True:
             sequence, document = self.sequence()
             if plan.writer is None or not planning.still_fits(replicas, document, self.request, plan.writer):
@@ -164,7 +164,7 @@
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
                     bounced.clear()
                     with self.router.held_wait():
-                        self.desk.pause(constants.PLACE_BEAT)
+                        self.desk.pause(constants.PLACEMENT_INTERVAL_S)
                     continue
                 replicas.end(self.writing)
                 plan.writer, self.writing = writer, writer.name
@@ -190,7 +190,7 @@
                 again = e.verdict is NOT_RUN and not e.gone
                 while again and not self.router.budget.extra(int(self.sends["decode"] > 0)):
                     again = self.desk.now() < until
-                    self.desk.pause(constants.PLACE_BEAT)
+                    self.desk.pause(constants.PLACEMENT_INTERVAL_S)
                 if not again:
                     raise
                 self.note(e)
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -16,7 +16,7 @@
     def __init__(self, desk, replicas, placing):
         self.desk, self.replicas, self.placing, self.leaders = desk, replicas, placing, replicas.leaders
         self.busy_at, self.mark = -1e9, 0
-        for part in range(1, constants.PARTS):
+        for part in range(1, constants.PART_COUNT):
             desk.hear("usages", self.on_usages, part)
         desk.post(self.tick)
 
@@ -47,8 +47,8 @@
         for part, own in rows.items():
             self.mark += 1
             self.desk.tell(self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own))
-        busy = now - self.busy_at < constants.USAGE_IDLE
-        self.desk.beat(constants.USAGE_BEAT if busy else constants.USAGE_IDLE, self.tick)
+        busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
+        self.desk.beat(constants.LOAD_REPORT_INTERVAL_S if busy else constants.IDLE_LOAD_REPORT_INTERVAL_S, self.tick)
 
     def on_usages(self, sender, body):
         self.leaders.heard(body["part"], sender)
--- a/mothshed/http/chunked.py
+++ b/mothshed/http/chunked.py
@@ -49,7 +49,7 @@
         """Reads a size line; False at the last chunk, whose trailer is then read."""
         if self.whole:
             return False
-        found = SIZE.fullmatch(self.file.readline(constants.CHUNK_LINE_MOST))
+        found = SIZE.fullmatch(self.file.readline(constants.MAX_CHUNK_LINE_BYTES))
         if not found:
             raise BadChunk("the size of a chunk is not clear")
         self.left = int(found.group(1), 16)
@@ -58,7 +58,7 @@
         return bool(self.left)
 
     def read_trailer(self):
-        most = constants.HEAD_MOST
+        most = constants.MAX_HEADER_BYTES
         while most > 0:
             line = self.file.readline(most)
             if not line.endswith(b"\r\n"):
--- a/mothshed/http/front.py
+++ b/mothshed/http/front.py
@@ -101,7 +101,7 @@
     status, reason = 413, "the body is too long"
 
 
-def body_of(environ: Environ, most: int = constants.BODY_MOST) -> bytes:
+def body_of(environ: Environ, most: int = constants.MAX_BODY_BYTES) -> bytes:
     """The whole body, at most so many bytes; raises BadBody."""
     size = environ.get("CONTENT_LENGTH")
     if size:
@@ -135,7 +135,7 @@
     """A cheroot server that keeps its troubles in the ring and lets nobody hold its threads.
 
     A connection gets a thread once it says something, not before. From then on it is
-    watched: a request that does not come whole within READ_TIME, sooner while no thread
+    watched: a request that does not come whole within REQUEST_READ_TIMEOUT_S, sooner while no thread
     is free, or an answer not taken by its cutoff, shuts the connection. Threads are
     started as they are needed, and end when they rest: `threads` is how many there may be.
     """
@@ -145,16 +145,16 @@
         super().__init__(
             (host, int(port)),
             app,
-            numthreads=min(threads, constants.FRONT_STEP),
+            numthreads=min(threads, constants.SERVER_STEP_THREADS),
             max=threads,
             request_queue_size=256,
             timeout=20,
             shutdown_timeout=1,
         )
-        self.idle_limit = idle.IdleLimit(constants.IDLE_LIMIT)
+        self.idle_limit = idle.IdleLimit(constants.DEFAULT_IDLE_TIMEOUT_S)
         self.gateway, self.ConnectionClass = Gateway, headers.Connection
-        self.max_request_header_size = constants.HEAD_MOST
-        self.keep_alive_conn_limit = constants.KEPT_CALLERS
+        self.max_request_header_size = constants.MAX_HEADER_BYTES
+        self.keep_alive_conn_limit = constants.MAX_IDLE_CLIENT_CONNECTIONS
         self.watched = set()
         self.many_idle_since = clock.now()
         threading.Thread(target=self.watch, name="lines", daemon=True).start()
@@ -180,7 +180,7 @@
             self.put_conn(conn)
             return
         conn.arrived = clock.now()
-        conn.due, conn.reading = conn.arrived + constants.READ_TIME, True
+        conn.due, conn.reading = conn.arrived + constants.REQUEST_READ_TIMEOUT_S, True
         self.watched.add(conn)
         super().process_conn(conn)
 
@@ -193,7 +193,7 @@
     def watch(self) -> None:
         """Look over the connections in use while the process lives; what fails once is noted and tried again."""
         while True:
-            time.sleep(constants.LINE_BEAT)
+            time.sleep(constants.CONNECTION_CHECK_INTERVAL_S)
             try:
                 self.fit_threads(clock.now())
                 self.look_for_those_who_left(clock.now())
@@ -209,19 +209,19 @@
         if not self.ready:
             return
         idle = self.requests.idle
-        if idle <= constants.FRONT_SPARE + constants.FRONT_STEP:
+        if idle <= constants.MIN_IDLE_SERVER_THREADS + constants.SERVER_STEP_THREADS:
             self.many_idle_since = now
-        if idle < constants.FRONT_SPARE:
-            self.requests.grow(constants.FRONT_STEP)
-        elif now - self.many_idle_since > constants.FRONT_REST:
-            self.requests.shrink(constants.FRONT_STEP)
+        if idle < constants.MIN_IDLE_SERVER_THREADS:
+            self.requests.grow(constants.SERVER_STEP_THREADS)
+        elif now - self.many_idle_since > constants.SERVER_THREAD_IDLE_S:
+            self.requests.shrink(constants.SERVER_STEP_THREADS)
             self.many_idle_since = now
 
     def shut_overdue(self, now: float) -> None:
         """Shut connections whose request does not come, or whose answer is not taken, in time."""
         crowded = not self.requests.idle
         for conn in list(self.watched):
-            due = conn.arrived + constants.READ_CROWDED if crowded and conn.reading else conn.due
+            due = conn.arrived + constants.CROWDED_REQUEST_READ_TIMEOUT_S if crowded and conn.reading else conn.due
             if conn.socket.fileno() < 0:
                 self.watched.discard(conn)
             elif due is not None and now > due:
--- a/mothshed/http/headers.py
+++ b/mothshed/http/headers.py
@@ -98,12 +98,12 @@
 
     def discard_input(self):
         """Reads away what still comes: closing over unread bytes resets the connection and loses the answer."""
-        until = clock.now() + constants.LINGER_TIME
+        until = clock.now() + constants.LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
             while (left := until - clock.now()) > 0:
                 self.socket.settimeout(left)
-                if not self.socket.recv(constants.READ_BYTES):
+                if not self.socket.recv(constants.SOCKET_READ_BYTES):
                     return
         except OSError:
             pass
--- a/mothshed/http/idle.py
+++ b/mothshed/http/idle.py
@@ -48,7 +48,7 @@
     def _expire(self, threshold):
         """Closes what rested for the whole limit and a margin; the library's threshold is not used."""
         now = clock.now()
-        oldest = now - self.server.idle_limit.longest(now) - constants.IDLE_MARGIN
+        oldest = now - self.server.idle_limit.longest(now) - constants.IDLE_CLOSE_MARGIN_S
         for descriptor, conn in list(self._selector.connections):
             if conn is self.server or conn.idle_since > oldest or has_input(conn.socket):
                 continue
--- a/mothshed/http/kept.py
+++ b/mothshed/http/kept.py
@@ -29,7 +29,7 @@
 
 def tune(sock):
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.KEPT_SILENT * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.DELIVERY_ACK_TIMEOUT_S * 1000))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
@@ -82,7 +82,7 @@
 
     def give(self, address, conn, headers):
         told = TIME.search(headers.get("keep-alive", "").lower())
-        span = int(told.group(1)) - constants.KEPT_MARGIN if told else constants.KEPT_IDLE
+        span = int(told.group(1)) - constants.KEEP_ALIVE_MARGIN_S if told else constants.DEFAULT_KEEP_ALIVE_S
         if "close" in headers.get("connection", "").lower() or span <= 0:
             conn.close()
             return
@@ -90,8 +90,8 @@
         with self.lock:
             rows = self.idle.setdefault(address, [])
             rows.append((conn, now, now + span))
-            gone = [rows.pop(0)] if len(rows) > constants.KEPT_MOST else []
-            if now - self.swept_at > constants.KEPT_SWEEP:
+            gone = [rows.pop(0)] if len(rows) > constants.MAX_IDLE_REPLICA_CONNECTIONS else []
+            if now - self.swept_at > constants.IDLE_SWEEP_INTERVAL_S:
                 self.swept_at = now
                 gone += self.expired(now)
         for row in gone:
@@ -106,8 +106,8 @@
 
     def connect(self, address):
         host, port = address.rsplit(":", 1)
-        conn = Connection(host, int(port), timeout=constants.KEPT_CONNECT)
-        conn.names = collections.deque(maxlen=constants.KEPT_NAMES)
+        conn = Connection(host, int(port), timeout=constants.DELIVERY_CONNECT_TIMEOUT_S)
+        conn.names = collections.deque(maxlen=constants.MAX_CONNECTION_REQUESTS)
         try:
             conn.connect()
             tune(conn.sock)
--- a/mothshed/http/reply.py
+++ b/mothshed/http/reply.py
@@ -84,7 +84,7 @@
                 yield from self.chunks()
             else:
                 while True:
-                    piece = self.raw.read1(constants.READ_BYTES, decode_content=False)
+                    piece = self.raw.read1(constants.SOCKET_READ_BYTES, decode_content=False)
                     if not piece:
                         break
                     yield piece
@@ -99,11 +99,11 @@
     def chunks(self) -> collections.abc.Iterator[bytes]:
         """The pieces of a chunked body; the library's own reader takes what is no chunk for one."""
         body = chunked.ChunkedBody(self.raw._fp.fp)
-        while piece := body.read1(constants.READ_BYTES):
+        while piece := body.read1(constants.SOCKET_READ_BYTES):
             yield piece
         self.raw._fp.close()
 
-    def all(self, most: int = constants.BODY_MOST) -> bytes:
+    def all(self, most: int = constants.MAX_BODY_BYTES) -> bytes:
         """The whole body at once; longer than most is a WebFault."""
         rows, size = [], 0
         for piece in self.pieces():
--- a/mothshed/http/web.py
+++ b/mothshed/http/web.py
@@ -81,7 +81,7 @@
 
 class Web:
     def __init__(self):
-        self.kept = urllib3.PoolManager(num_pools=constants.HTTP_POOL, maxsize=4, retries=False)
+        self.kept = urllib3.PoolManager(num_pools=constants.MAX_CONNECTION_POOLS, maxsize=4, retries=False)
 
     def send(
         self,
@@ -89,8 +89,8 @@
         url,
         body=None,
         headers=None,
-        connect=constants.CONNECT_TIME,
-        read=constants.STREAM_QUIET,
+        connect=constants.CONNECT_TIMEOUT_S,
+        read=constants.STREAM_IDLE_TIMEOUT_S,
         ready=lambda: True,
         cancellation=None,
     ):
@@ -120,7 +120,7 @@
             conn.close()
             raise WebFault(f"{type(e).__name__}: {e}", True) from e
 
-    def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIME):
+    def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIMEOUT_S):
         """A small exchange on a kept connection: (status, JSON body)."""
         data, headers = packed(body, headers or {})
         try:
@@ -131,7 +131,7 @@
                 headers=headers,
                 preload_content=False,
                 redirect=False,
-                timeout=urllib3.Timeout(connect=constants.CONNECT_TIME, read=max(read, 0.01)),
+                timeout=urllib3.Timeout(connect=constants.CONNECT_TIMEOUT_S, read=max(read, 0.01)),
             )
         except NOT_SENT as e:
             raise WebFault(f"{type(e).__name__}", False) from e
--- a/mothshed/programs/ask.py
+++ b/mothshed/programs/ask.py
@@ -28,22 +28,22 @@
         json=body,
         redirect=False,
         retries=False,
-        timeout=urllib3.Timeout(connect=1.0, read=constants.ASK_WAIT),
+        timeout=urllib3.Timeout(connect=1.0, read=constants.QUERY_TIMEOUT_S),
     )
     return response.status, response.json(), response.headers.get("location")
 
 
 def any_of(addresses, method, path, body=None):
-    """(status, answer) of the first address that answers other than 503; rounds go on for ASK_SPAN seconds."""
+    """(status, answer) of the first address that answers other than 503; rounds go on for MIN_QUERY_TIME_S seconds."""
     pool, last = urllib3.PoolManager(), (503, {"error": {"message": "no address answered", "verdict": "not_run"}})
-    calls, end = 0, time.monotonic() + constants.ASK_SPAN
-    while calls < constants.ASK_TRIES or time.monotonic() < end:
+    calls, end = 0, time.monotonic() + constants.MIN_QUERY_TIME_S
+    while calls < constants.MIN_QUERY_ATTEMPTS or time.monotonic() < end:
         for address in addresses:
             last = attempt(pool, method, f"http://{address}{path}", body)
             if last[0] != 503:
                 return last
         calls += len(addresses)
-        time.sleep(constants.ASK_PAUSE)
+        time.sleep(constants.QUERY_RETRY_INTERVAL_S)
     return last
 
 
--- a/mothshed/programs/operate_keys.py
+++ b/mothshed/programs/operate_keys.py
@@ -45,7 +45,7 @@
 
 def make_key() -> Key:
     """A new random key."""
-    return Key(secrets.token_urlsafe(constants.KEY_BYTES))
+    return Key(secrets.token_urlsafe(constants.GENERATED_KEY_BYTES))
 
 
 def read_tenants(keepers: list[str]) -> tuple[int, dict[str, Tenant]]:
--- a/mothshed/programs/route.py
+++ b/mothshed/programs/route.py
@@ -30,7 +30,7 @@
     router = router_module.Router(serving.desks(settings)(), settings)
     ring.hold(router.journal)
     router.run()
-    serving.serve(router.front(), lambda: router.drain(settings.get("drain_s", constants.DRAIN_MOST)))
+    serving.serve(router.front(), lambda: router.drain(settings.get("drain_s", constants.DRAIN_TIMEOUT_S)))
 
 
 def main():
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -45,7 +45,7 @@
         good = environ["PATH_INFO"] == path and ready()
         return front.respond(start, 200 if good else 503, {"ready": good})
 
-    server = front.Server(address, app, constants.READY_THREADS)
+    server = front.Server(address, app, constants.READINESS_SERVER_THREADS)
     threading.Thread(target=server.safe_start, daemon=True).start()
 
 
@@ -61,7 +61,7 @@
             return disk
         except disk_module.DiskFault as fault:
             ring.note("disk_refuses", reason=str(fault))
-            sleep(constants.DISK_RETRY)
+            sleep(constants.DISK_RETRY_INTERVAL_S)
 
 
 def serve(server, stop, reread=lambda: None):
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -2,7 +2,7 @@
 
 Conditions come from own probes and from hints of neighbours; the younger one
 counts. A replica takes nothing new while the own reading of the list shows it
-leaving, and while a neighbour's reading did so that is no more than LEAVE_KEEP
+leaving, and while a neighbour's reading did so that is no more than LEAVING_MARK_TTL_S
 older than the own one: lists lag, so an own reading that still shows it ready
 proves nothing. A process that woke from a sleep places nothing before it has
 asked the list again. Usage is estimated as what others had there at the last report plus
@@ -63,13 +63,13 @@
             except web.WebFault as e:
                 self.journal.add("list", outcome="failed", reason=str(e))
             self.tried_at = self.desk.now()
-            self.desk.pause(constants.LIST_BEAT)
+            self.desk.pause(constants.LIST_POLL_INTERVAL_S)
 
     def take_list(self, rows):
         now = self.desk.now()
         with self.lock:
             self.rows, self.list_at = rows, now
-            self.marks = {n: at for n, at in self.marks.items() if at > now - constants.LEAVE_KEEP}
+            self.marks = {n: at for n, at in self.marks.items() if at > now - constants.LEAVING_MARK_TTL_S}
             for name in [n for n in self.conditions if n not in rows]:
                 del self.conditions[name]
 
@@ -77,17 +77,17 @@
         """Names not to be placed upon: shown leaving here, or to a neighbour about as lately."""
         with self.lock:
             own = {n for n, row in self.rows.items() if row["leaving"]}
-            return own | {n for n, at in self.marks.items() if at > self.list_at - constants.LEAVE_KEEP}
+            return own | {n for n, at in self.marks.items() if at > self.list_at - constants.LEAVING_MARK_TTL_S}
 
     def probe_all(self):
         while True:
             now = self.desk.now()
             for name, row in list(self.rows.items()):
                 seen = self.conditions.get(name)
-                if name not in self.probing and (not seen or now - seen["at"] > constants.PROBE_BEAT * 0.8):
+                if name not in self.probing and (not seen or now - seen["at"] > constants.PROBE_INTERVAL_S * 0.8):
                     self.probing.add(name)
                     self.desk.spawn(lambda name=name, url=row["url"]: self.probe(name, url))
-            self.desk.pause(constants.PROBE_BEAT / 2)
+            self.desk.pause(constants.PROBE_INTERVAL_S / 2)
 
     def probe(self, name, url):
         own, at = self.mine.get(name, 0), self.desk.now()
@@ -97,7 +97,7 @@
         except web.WebFault as e:
             self.journal.add("probe", outcome="failed", replica=name, reason=str(e))
             self.silent[name] = self.silent.get(name, 0) + 1
-            if self.silent[name] >= constants.PROBES_SILENT:
+            if self.silent[name] >= constants.MAX_FAILED_PROBES:
                 self.doubt(name)
         finally:
             self.probing.discard(name)
@@ -126,7 +126,7 @@
             rows = [
                 {"replica": n, "age": round(now - s["at"], 3), "c": s["c"]}
                 for n, s in self.conditions.items()
-                if now - s["at"] < constants.HINT_LIFE
+                if now - s["at"] < constants.HINT_TTL_S
             ]
         self.desk.random.shuffle(rows)
         return gone + rows
@@ -140,13 +140,13 @@
             name = hint["replica"]
             self.take_condition(name, at, self.mine.get(name, 0), hint["c"])
 
-    def doubt(self, name, span=constants.DOUBT):
+    def doubt(self, name, span=constants.SUSPECT_DURATION_S):
         self.doubts[name] = self.desk.now() + span
 
     def usable(self, selector, role=None):
         """name -> condition of the listed, staying, lately heard replicas under a selector."""
         now, found = self.desk.now(), {}
-        if now - self.tried_at > constants.LIST_TRIED:
+        if now - self.tried_at > constants.LIST_ATTEMPT_MAX_AGE_S:
             return found
         with self.lock:
             leaving = self.leaving()
@@ -155,7 +155,7 @@
                 if (
                     name in leaving
                     or not seen
-                    or now - seen["at"] > constants.CONDITION_LIFE
+                    or now - seen["at"] > constants.REPLICA_STATUS_TTL_S
                     or self.doubts.get(name, 0) > now
                     or role
                     and seen["c"]["role"] != role
@@ -180,9 +180,9 @@
         """
         seen = self.conditions[name]
         c = seen["c"]
-        free = max(0, c["slots"] + constants.REPLICA_SLACK - c["run"] - c["wait"])
+        free = max(0, c["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - c["run"] - c["wait"])
         if "share" not in seen:
-            share = free * constants.SHARE_MORE / max(1, self.sharers())
+            share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.sharers())
             seen["share"] = int(share) + (self.desk.random.random() < share % 1)
         return self.mine.get(name, 0) - seen["own"] < min(seen["share"], free)
 
--- a/mothshed/replicas/leaders.py
+++ b/mothshed/replicas/leaders.py
@@ -12,13 +12,13 @@
         self.desk, self.keepers = desk, keepers
         self.known, self.since, self.turn = {}, {}, 0  # part -> address; when an ask first went unanswered
         self.changed = []  # call(part) when somebody is named as its leader
-        for part in range(1, constants.PARTS):
+        for part in range(1, constants.PART_COUNT):
             desk.hear("look_elsewhere", self.on_look_elsewhere, part)
 
     def ask(self, part):
         """The address to ask now; each ask left unanswered counts towards silence."""
         now = self.desk.now()
-        if now - self.since.setdefault(part, now) > constants.USAGE_SILENT:
+        if now - self.since.setdefault(part, now) > constants.LOAD_LEADER_TIMEOUT_S:
             self.known.pop(part, None)
             self.since[part] = now
         leader = self.known.get(part)
--- a/mothshed/replicas/listed.py
+++ b/mothshed/replicas/listed.py
@@ -1,7 +1,7 @@
 """Replicas known from the platform's list alone.
 
 One process reads the list and tells all others (control_plane/list_duty.py); who hears
-nothing for LIST_SILENT reads it for itself.
+nothing for LIST_MAX_AGE_S reads it for itself.
 Where the list itself tells each replica's part, no reports are asked for: a replica
 is usable while it is listed and staying. One that fails a send without proof is left
 out for a span that grows with each failure in a row, then tried again; a success
@@ -21,17 +21,17 @@
         self.leaders = leaders.Leaders(desk, keepers)
         self.fails = {}  # name -> failures in a row
         self.number = 0  # of the list's news that is held
-        self.fresh_at = desk.now() + constants.LIST_SILENT * desk.random.random()  # when the list held was read
+        self.fresh_at = desk.now() + constants.LIST_MAX_AGE_S * desk.random.random()  # when the list held was read
         self.reading = False
-        self.silent, self.ask_span = constants.LIST_SILENT, constants.LIST_ASK
-        desk.hear("list_news", self.on_news, constants.LIST_PART)
+        self.silent, self.ask_span = constants.LIST_MAX_AGE_S, constants.LIST_REQUEST_INTERVAL_S
+        desk.hear("list_news", self.on_news, constants.LIST_READER_PART)
 
     def run(self):
         self.desk.post(self.tick)
 
     def tick(self):
-        goal = self.leaders.ask(constants.LIST_PART)
-        self.desk.tell(goal, "list_ask", part=constants.LIST_PART, number=self.number)
+        goal = self.leaders.ask(constants.LIST_READER_PART)
+        self.desk.tell(goal, "list_ask", part=constants.LIST_READER_PART, number=self.number)
         if self.desk.now() - self.fresh_at > self.silent and not self.reading:
             self.reading = True
             self.desk.spawn(self.read_list)
@@ -39,11 +39,11 @@
 
     def next_ask(self) -> float:
         """Seconds until the reader of the list is asked again: soon while no list is here, since nobody is served."""
-        return self.ask_span if self.rows else min(self.ask_span, constants.LIST_ASK_FIRST)
+        return self.ask_span if self.rows else min(self.ask_span, constants.INITIAL_LIST_REQUEST_INTERVAL_S)
 
     def on_news(self, sender, body):
         """What changed in the list, from the one that reads it for all."""
-        self.leaders.heard(constants.LIST_PART, sender)
+        self.leaders.heard(constants.LIST_READER_PART, sender)
         if not body["whole"] and body["held"] != self.number:
             return  # a piece is missing: the next ask says what is held
         rows = {} if body["whole"] else {n: r for n, r in self.rows.items() if n not in body["gone"]}
@@ -60,7 +60,7 @@
             self.number, self.fresh_at = 0, began
         except web.WebFault as e:
             self.journal.add("list", outcome="failed", reason=str(e))
-            self.fresh_at += constants.LIST_ASK * self.desk.random.random()
+            self.fresh_at += constants.LIST_REQUEST_INTERVAL_S * self.desk.random.random()
         finally:
             self.reading = False
 
@@ -107,7 +107,10 @@
         """A send there failed without proof that the replica is well."""
         with self.lock:
             count = self.fails[name] = self.fails.get(name, 0) + 1
-        self.doubt(name, min(constants.OUT_MOST, constants.OUT_SPAN * constants.OUT_GROW ** (count - 1)))
+        self.doubt(
+            name,
+            min(constants.MAX_EXCLUSION_S, constants.MIN_EXCLUSION_S * constants.EXCLUSION_GROWTH_RATIO ** (count - 1)),
+        )
 
     def served(self, name):
         self.fails.pop(name, None)
--- a/mothshed/replicas/platform_list.py
+++ b/mothshed/replicas/platform_list.py
@@ -10,7 +10,7 @@
 
 
 def read(desk, url):
-    status, said = desk.web.poll("GET", url, read=constants.LIST_TIME)
+    status, said = desk.web.poll("GET", url, read=constants.LIST_READ_TIMEOUT_S)
     if status != 200:
         raise web.WebFault(f"list status {status}", True)
     return parse(said)
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -44,8 +44,8 @@
     (2, True)
     """
     keys, chain = [], b""
-    for at in range(0, min(len(prompt) // constants.CACHE_BLOCK, constants.KEYS_MOST)):
-        piece = prompt[at * constants.CACHE_BLOCK : (at + 1) * constants.CACHE_BLOCK].encode()
+    for at in range(0, min(len(prompt) // constants.CACHE_BLOCK_CHARS, constants.MAX_PROMPT_CACHE_KEYS)):
+        piece = prompt[at * constants.CACHE_BLOCK_CHARS : (at + 1) * constants.CACHE_BLOCK_CHARS].encode()
         chain = hashlib.blake2b(chain + piece, digest_size=4).digest()
         keys.append(chain.hex())
     return keys
@@ -136,7 +136,7 @@
     """Orders the decode; returns an iterator of (text, finish reason) that ends only when whole."""
     if handle.request.rsplit(".", 1)[0] != name.rsplit(".", 1)[0]:
         raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", place.name, gone=True)
-    if desk.now() - handle.born > constants.HANDLE_LIFE:
+    if desk.now() - handle.born > constants.HANDLE_TTL_S:
         raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", place.name, gone=True)
     body = {
         **request.body,
@@ -150,7 +150,7 @@
             place.url + request.path,
             body,
             headers_of(request, name, sequence, left),
-            read=min(left, constants.STREAM_QUIET),
+            read=min(left, constants.STREAM_IDLE_TIMEOUT_S),
             ready=ready,
             cancellation=request.caller.cancellation,
         )
@@ -215,7 +215,7 @@
     the export may still be coming, so only a free that was carried out does.
     """
     body = {"engine_id": handle.engine, "request_id": handle.request, "block_ids": handle.params["remote_block_ids"]}
-    status, said = desk.web.poll("POST", handle.address + "/kv/free", body, read=constants.FREE_TIME)
+    status, said = desk.web.poll("POST", handle.address + "/kv/free", body, read=constants.HANDLE_RELEASE_TIMEOUT_S)
     return status == 200 or status == 404 and handle.heard
 
 
@@ -230,7 +230,7 @@
             "run": int(said["running"]),
             "wait": int(said["waiting"]),
             "slots": int(said["slots"]),
-            "keys": [str(k) for k in said["cache"]][-constants.CACHE_KEYS_MOST :],
+            "keys": [str(k) for k in said["cache"]][-constants.MAX_REPLICA_CACHE_KEYS :],
             "standing": int(said["standing"]),
         }
     except (KeyError, TypeError, ValueError) as e:
@@ -240,7 +240,7 @@
 def order_role(desk, place, role, standing, holder, sequence, ready=lambda: True):
     """Orders a role under a standing: True when the replica took it. ready() is the last check before the write."""
     body = {"role": role, "standing": standing, "holder": holder, "sequence": sequence}
-    response = desk.web.send("POST", place.url + "/role", body, read=constants.ORDER_TIME, ready=ready)
+    response = desk.web.send("POST", place.url + "/role", body, read=constants.ORDER_TIMEOUT_S, ready=ready)
     status = response.status
     response.body()
     return status == 200
--- a/mothshed/replicas/replica_load.py
+++ b/mothshed/replicas/replica_load.py
@@ -21,7 +21,7 @@
 
 def no_reading() -> list[float]:
     """Nothing being read, by rank."""
-    return [0] * constants.RANKS
+    return [0] * constants.PREFILL_RANK_COUNT
 
 
 @dataclasses.dataclass
@@ -45,8 +45,8 @@
     def from_wire(cls, row: Wire) -> "ReplicaLoad":
         """The row as it was sent; raises ValueError if it is shorter than any release sends."""
         requests, out_s, *rest = row
-        reading, lately = rest[: constants.RANKS], rest[constants.RANKS :]
-        if len(reading) < constants.RANKS:
+        reading, lately = rest[: constants.PREFILL_RANK_COUNT], rest[constants.PREFILL_RANK_COUNT :]
+        if len(reading) < constants.PREFILL_RANK_COUNT:
             raise ValueError(f"a load of {len(row)} numbers")
         answered, failed, events, events_s = (*lately, 0.0, 0.0, 0.0, 0.0)[:4]
         return cls(requests, out_s, answered, failed, reading, events, events_s)
--- a/mothshed/runtime/counters.py
+++ b/mothshed/runtime/counters.py
@@ -22,14 +22,14 @@
 
     def run(self) -> None:
         """Begin; the next line is due after one interval."""
-        self.timers.beat(constants.COUNTERS_INTERVAL, self.tick)
+        self.timers.beat(constants.COUNTERS_INTERVAL_S, self.tick)
 
     def tick(self) -> None:
         """Report what changed, and come again."""
         added = self.added()
         if added:
             ring.report("counters", **added, **self.figures())
-        self.timers.beat(constants.COUNTERS_INTERVAL, self.tick)
+        self.timers.beat(constants.COUNTERS_INTERVAL_S, self.tick)
 
     def added(self) -> dict[str, int]:
         """Counter -> how much it grew since this was asked last."""
--- a/mothshed/runtime/fading.py
+++ b/mothshed/runtime/fading.py
@@ -45,5 +45,5 @@
         return tuple(amount * keep for amount in amounts)
 
     def _forget_faded(self) -> None:
-        oldest = self.now() - constants.FADED_HALVES * self.half_s
+        oldest = self.now() - constants.MAX_HALF_LIVES * self.half_s
         self.sums = {name: row for name, row in self.sums.items() if row[0] > oldest}
--- a/mothshed/runtime/journal.py
+++ b/mothshed/runtime/journal.py
@@ -32,7 +32,7 @@
 class Journal:
     def __init__(self, now=lambda: 0.0):
         self.now = now
-        self.events = collections.deque(maxlen=constants.JOURNAL_MOST)
+        self.events = collections.deque(maxlen=constants.MAX_JOURNAL_EVENTS)
         self.views = []
         self.given = None  # the last event handed out by fresh()
         self.lock = threading.RLock()
--- a/mothshed/runtime/ring.py
+++ b/mothshed/runtime/ring.py
@@ -22,7 +22,7 @@
 
 import mothshed.constants as constants
 
-ROWS = collections.deque(maxlen=constants.RING_MOST)
+ROWS = collections.deque(maxlen=constants.MAX_LOG_BUFFER_MESSAGES)
 JOURNALS = []
 STATE = {"path": None, "last": -1e9, "name": "", "on": False}
 LOCK = threading.Lock()
@@ -50,7 +50,7 @@
         return True
 
 
-ALLOWANCE = Allowance(constants.REPORT_MOST, constants.REPORT_RATE)
+ALLOWANCE = Allowance(constants.MAX_REPORT_BURST_LINES, constants.REPORT_LINES_PER_S)
 
 
 def keep(message: dict[str, typing.Any]) -> None:
--- a/mothshed/runtime/waker.py
+++ b/mothshed/runtime/waker.py
@@ -22,7 +22,7 @@
 
     def clear(self) -> None:
         """Take what woke the thread."""
-        os.read(self.reader, constants.READ_BYTES)
+        os.read(self.reader, constants.SOCKET_READ_BYTES)
 
     def close(self) -> None:
         """Let go of the pipe."""
--- a/mothshed/storage/disk_log.py
+++ b/mothshed/storage/disk_log.py
@@ -114,7 +114,7 @@
     def write(self, rows):
         """Writes rows as one frame and syncs it."""
         with self.refusing_after_fault():
-            if not self.segment or self.segment_size > constants.SEGMENT_BYTES:
+            if not self.segment or self.segment_size > constants.LOG_SEGMENT_BYTES:
                 self.begin_segment(rows)
                 return
             data = log_format.frame(rows)
@@ -140,7 +140,7 @@
     def put_snap(self, snap, keep):
         """Begins a new generation with this snapshot, keeping entries above `keep` for members that lag.
 
-        Entries that the snapshot covers are kept only up to KEEP_BEHIND_BYTES. If the
+        Entries that the snapshot covers are kept only up to MAX_RETAINED_LOG_BYTES. If the
         log does not hold the snapshot's last entry, none of its entries is kept.
         """
         index = snap["index"]
--- a/mothshed/storage/log_state.py
+++ b/mothshed/storage/log_state.py
@@ -78,6 +78,6 @@
         size = 0
         for at in range(index, keep, -1):
             size += self.entry_bytes(at)
-            if size > constants.KEEP_BEHIND_BYTES:
+            if size > constants.MAX_RETAINED_LOG_BYTES:
                 return at
         return min(keep, index)
--- a/mothshed/transport/gossip.py
+++ b/mothshed/transport/gossip.py
@@ -37,7 +37,7 @@
         if self.memory:
             for goal in self.memory.to_call(set(self.view)):
                 self.greet(goal)
-        self.desk.beat(transport_constants.SHUFFLE_INTERVAL * (0.8 + 0.4 * self.desk.random.random()), self.tick)
+        self.desk.beat(transport_constants.SHUFFLE_INTERVAL_S * (0.8 + 0.4 * self.desk.random.random()), self.tick)
 
     def shuffle(self):
         self.rounds += 1
@@ -46,7 +46,7 @@
             self.waiting = None
         for row in self.view.values():
             row["age"] += 1
-        for address in [a for a, r in self.view.items() if r["age"] > transport_constants.VIEW_AGE_MOST]:
+        for address in [a for a, r in self.view.items() if r["age"] > transport_constants.MAX_VIEW_AGE_SHUFFLES]:
             del self.view[address]
         if not self.view:  # alone: any seed that lives will do
             goals = self.seeds
@@ -63,7 +63,7 @@
 
     def some(self, goal):
         rows = [[a, r["age"], r["kind"], r["cell"], r["name"]] for a, r in self.view.items() if a != goal]
-        pick = self.desk.random.sample(rows, min(len(rows), transport_constants.SHUFFLE_MOST - 1))
+        pick = self.desk.random.sample(rows, min(len(rows), transport_constants.MAX_SHUFFLE_NEIGHBOURS - 1))
         return pick + [self.me()]
 
     def on_shuffle(self, sender, body):
@@ -81,7 +81,7 @@
             old = self.view.get(address)
             if old is None or old["age"] > age:
                 self.view[address] = {"age": age, "kind": kind, "cell": cell, "name": name}
-        while len(self.view) > transport_constants.VIEW_MOST:
+        while len(self.view) > transport_constants.MAX_VIEW_NEIGHBOURS:
             worst = max(self.view, key=lambda a: (self.view[a]["age"], self.desk.random.random()))
             del self.view[worst]
         for hint in body["hints"]:
@@ -89,14 +89,14 @@
 
     def hints(self):
         now = self.desk.now()
-        self.keeps = {a: t for a, t in self.keeps.items() if now - t < 5 * constants.HINT_LIFE}
-        self.routers = {a: t for a, t in self.routers.items() if now - t < 5 * constants.HINT_LIFE}
+        self.keeps = {a: t for a, t in self.keeps.items() if now - t < 5 * constants.HINT_TTL_S}
+        self.routers = {a: t for a, t in self.routers.items() if now - t < 5 * constants.HINT_TTL_S}
         if self.kind == "keep":
             self.keeps[self.desk.address] = now
         rows = [{"keep": a, "age": round(now - t, 3)} for a, t in self.keeps.items()]
         if self.replicas:
             rows += self.replicas.hints()
-        return rows[: transport_constants.HINTS_MOST]
+        return rows[: transport_constants.MAX_RECORD_HINTS]
 
     def take(self, hint):
         if "keep" in hint:
@@ -110,7 +110,7 @@
 
     def count_routers(self):
         """About how many routers there are, this one included."""
-        old = self.desk.now() - 5 * constants.HINT_LIFE
+        old = self.desk.now() - 5 * constants.HINT_TTL_S
         return 1 + sum(at > old for at in list(self.routers.values()))
 
     def keepers(self):
--- a/mothshed/transport/link.py
+++ b/mothshed/transport/link.py
@@ -51,9 +51,9 @@
     after the network does; ended early, the connection is simply made anew.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(transport_constants.PEER_SILENT * 1000))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(transport_constants.PEER_ACK_TIMEOUT_S * 1000))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(transport_constants.PEER_SILENT))
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, int(transport_constants.PEER_ACK_TIMEOUT_S))
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
@@ -150,7 +150,7 @@
         The end of the other side's direction shows in `state` afterwards.
         """
         try:
-            data = self.sock.recv(constants.READ_BYTES)
+            data = self.sock.recv(constants.SOCKET_READ_BYTES)
         except BlockingIOError:
             return
         except OSError as error:
@@ -188,17 +188,21 @@
 
     def refused_at_hello(self, now: float) -> bool:
         """Whether the peer ended it right after our hello without a word, as one does that cannot read the hello."""
-        return self.opened and not self.was_answered and now - self.began < transport_constants.PEER_CONNECT
+        return self.opened and not self.was_answered and now - self.began < transport_constants.PEER_CONNECT_TIMEOUT_S
 
     def rested(self, now: float) -> bool:
-        """Whether it carried nothing either way for PEER_IDLE seconds."""
-        return self.state is State.OPEN and not self.outgoing and now - self.used_at > transport_constants.PEER_IDLE
+        """Whether it carried nothing either way for PEER_IDLE_TIMEOUT_S seconds."""
+        return (
+            self.state is State.OPEN
+            and not self.outgoing
+            and now - self.used_at > transport_constants.PEER_IDLE_TIMEOUT_S
+        )
 
     def overdue(self, now: float) -> bool:
         """Whether it takes too long to connect, or the other side to end."""
         if self.state is State.CONNECTING:
-            return now - self.began > transport_constants.PEER_CONNECT
-        return self.state is State.CLOSING and now - self.closing_since > transport_constants.PEER_SILENT
+            return now - self.began > transport_constants.PEER_CONNECT_TIMEOUT_S
+        return self.state is State.CLOSING and now - self.closing_since > transport_constants.PEER_ACK_TIMEOUT_S
 
     def begin_close(self, now: float) -> None:
         """Shut our direction; the link reads on until the other side ends too. Nothing may be queued."""
--- a/mothshed/transport/link_loop.py
+++ b/mothshed/transport/link_loop.py
@@ -1,7 +1,7 @@
 """All links of a process, carried by one thread.
 
 The thread accepts, connects, reads, and writes what other threads could not write at
-once. A link that carried nothing either way for PEER_IDLE seconds is closed in order, so
+once. A link that carried nothing either way for PEER_IDLE_TIMEOUT_S seconds is closed in order, so
 a process holds the links that it uses now.
 """
 
@@ -30,7 +30,9 @@
 
     def __init__(self, listen: str, address: str, deliver: Deliver, now: collections.abc.Callable[[], float]) -> None:
         self.deliver, self.now = deliver, now
-        self.server = socket.create_server(link_module.split(listen), backlog=transport_constants.PEER_BACKLOG)
+        self.server = socket.create_server(
+            link_module.split(listen), backlog=transport_constants.MAX_PEER_BACKLOG_CONNECTIONS
+        )
         self.server.setblocking(False)
         self.waker = waker_module.Waker()
         self.table = link_table.LinkTable(address, now, self.waker)
@@ -62,7 +64,7 @@
 
     def step(self) -> None:
         """Wait for something to do, and do it."""
-        for key, mask in self.selector.select(transport_constants.PEER_LOOK):
+        for key, mask in self.selector.select(transport_constants.PEER_CHECK_INTERVAL_S):
             if isinstance(key.data, link_module.Link):
                 self.serve(key.data, mask)
             else:
@@ -70,7 +72,7 @@
         with self.table.lock:
             self.watch_what_others_left()
             now = self.now()
-            if now - self.looked_at >= transport_constants.PEER_LOOK:
+            if now - self.looked_at >= transport_constants.PEER_CHECK_INTERVAL_S:
                 self.looked_at = now
                 self.look_over(now)
 
--- a/mothshed/transport/link_table.py
+++ b/mothshed/transport/link_table.py
@@ -44,7 +44,7 @@
             link = self.by_peer.get(peer) or self.open(peer)
             if link is None:
                 self.counts["dropped"] += 1
-            elif len(link.outgoing) >= transport_constants.PEER_QUEUE:
+            elif len(link.outgoing) >= transport_constants.MAX_PEER_QUEUE_RECORDS:
                 self.counts["queue_full"] += 1
             else:
                 self.write_now(link, data)
--- a/mothshed/transport/reachability.py
+++ b/mothshed/transport/reachability.py
@@ -12,7 +12,7 @@
 
     def refuse(self, peer: str, now: float) -> None:
         """A peer could not be reached: it is not tried again for a moment."""
-        self.refused_until[peer] = now + transport_constants.PEER_RETRY
+        self.refused_until[peer] = now + transport_constants.PEER_RETRY_DELAY_S
 
     def is_refused(self, peer: str, now: float) -> bool:
         """Whether a peer is not to be tried now."""
@@ -20,7 +20,7 @@
 
     def hello_refused(self, peer: str, now: float) -> None:
         """A peer closed at our hello: it is taken for one of the release before the rule for changes."""
-        self.former_until[peer] = now + transport_constants.PEER_FORMER
+        self.former_until[peer] = now + transport_constants.PEER_FALLBACK_S
 
     def is_former(self, peer: str, now: float) -> bool:
         """Whether a peer is spoken to as the release before the rule for changes."""
--- a/mothshed/transport/record_kinds.py
+++ b/mothshed/transport/record_kinds.py
@@ -10,7 +10,7 @@
   record takes it, and an older reader passes the field over;
 - a new kind names the release it came with; an older reader passes it over.
 
-RECORDS_RELEASE is raised by each release that adds a field or a kind. tests/test_releases.py holds
+RECORD_FORMAT_VERSION is raised by each release that adds a field or a kind. tests/test_releases.py holds
 the table against what earlier releases wrote.
 """
 
--- a/mothshed/transport/records.py
+++ b/mothshed/transport/records.py
@@ -74,7 +74,7 @@
         kind = self.by_name[name]
         most = self.release if release is None else release
         data = b"".join(packed_field(field, body) for field in kind.fields if field.since <= most)
-        if len(data) > transport_constants.RECORD_MOST:
+        if len(data) > transport_constants.MAX_RECORD_BYTES:
             raise RecordFault(f"{name} is too long to send: {len(data)} bytes")
         return HEAD.pack(MARK, kind.number, len(data), zlib.crc32(data)) + data
 
@@ -83,7 +83,7 @@
         mark, number, size, checksum = HEAD.unpack(data)
         if mark != MARK:
             raise RecordFault("wrong mark")
-        if size > transport_constants.RECORD_MOST:
+        if size > transport_constants.MAX_RECORD_BYTES:
             raise RecordFault(f"length {size} is over the limit")
         return Head(self.by_number.get(number), size, checksum)
 
@@ -145,7 +145,7 @@
     return (text if field.code == "s" else json.loads(text)), start + size
 
 
-CODEC = Codec(record_kinds.KINDS, transport_constants.RECORDS_RELEASE)
+CODEC = Codec(record_kinds.KINDS, transport_constants.RECORD_FORMAT_VERSION)
 
 
 def pack(name: str, **body: typing.Any) -> bytes:
--- a/mothshed/transport/remembered.py
+++ b/mothshed/transport/remembered.py
@@ -23,13 +23,13 @@
         self.desk, self.disk = desk, disk
         self.turn, self.writing, self.written_at = 0, False, desk.now()
         self.kept = self.read()
-        self.at = dict.fromkeys(self.kept, desk.now() - transport_constants.CALL_SILENT)  # address -> last heard
+        self.at = dict.fromkeys(self.kept, desk.now() - transport_constants.REDIAL_SILENCE_S)  # address -> last heard
 
     def read(self):
         """The addresses last written; none if they cannot be read."""
         try:
             rows = json.loads(self.disk.read(FILE) or b"[]")
-            return sorted({str(a) for a in rows if ":" in str(a)})[: transport_constants.REMEMBER_MOST]
+            return sorted({str(a) for a in rows if ":" in str(a)})[: transport_constants.MAX_REMEMBERED_ADDRESSES]
         except (ValueError, TypeError, disk_module.DiskFault) as e:
             ring.note("neighbours_unreadable", reason=str(e))
             return []
@@ -42,19 +42,21 @@
     def to_call(self, near):
         """A few of those not heard of lately, each in its turn; writes down what changed."""
         now = self.desk.now()
-        self.at = {a: t for a, t in self.at.items() if now - t < transport_constants.REMEMBER_LIFE}
-        while len(self.at) > transport_constants.REMEMBER_MOST:
+        self.at = {a: t for a, t in self.at.items() if now - t < transport_constants.ADDRESS_TTL_S}
+        while len(self.at) > transport_constants.MAX_REMEMBERED_ADDRESSES:
             del self.at[min(self.at, key=self.at.get)]
         if (
             sorted(self.at) != self.kept
             and not self.writing
-            and now - self.written_at > transport_constants.REMEMBER_INTERVAL
+            and now - self.written_at > transport_constants.ADDRESS_WRITE_INTERVAL_S
         ):
             self.writing, self.kept = True, sorted(self.at)
             self.desk.spawn(lambda rows=self.kept: self.write(rows))
-        silent = sorted(a for a, t in self.at.items() if now - t >= transport_constants.CALL_SILENT and a not in near)
-        self.turn += transport_constants.CALL_MOST
-        return [silent[(self.turn + n) % len(silent)] for n in range(min(transport_constants.CALL_MOST, len(silent)))]
+        silent = sorted(
+            a for a, t in self.at.items() if now - t >= transport_constants.REDIAL_SILENCE_S and a not in near
+        )
+        self.turn += transport_constants.MAX_REDIALS
+        return [silent[(self.turn + n) % len(silent)] for n in range(min(transport_constants.MAX_REDIALS, len(silent)))]
 
     def write(self, rows):
         """Writes the addresses; a disk that fails is noted, and a later beat tries again."""
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -124,10 +124,10 @@
     # --- what must hold ---
     def check_leases(self, seat):
         """No lease of an earlier leader outlasts the moment from which this one takes them all for run out."""
-        end = seat.former_leases_end(constants.LEASE_LONG)
+        end = seat.former_leases_end(constants.LONG_LEASE_S)
         for term, asked in self.leases:
             if term < seat.log.term:
-                left = asked + constants.LEASE_LONG - end
+                left = asked + constants.LONG_LEASE_S - end
                 assert left <= 0, f"a lease of term {term} runs {left:.2f} s past the wait of the leader of {seat.who}"
 
     def check_commit_moments(self):
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -61,7 +61,7 @@
         self.duties, self.sure_until = [], 0.0
 
     def renew(self):
-        self.sure_until = self.desk.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
+        self.sure_until = self.desk.now() + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
 
     def sure(self):
         return self.desk.now() < self.sure_until
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -131,7 +131,7 @@
                 self.granted.append(self.pool.time)
                 assert came <= self.pool.asked[self.pool.answer], "a permit whose ask went out before its request came"
         elapsed = self.pool.time - 200.0
-        allowed = BURST + RATE * elapsed + constants.ROUNDING
+        allowed = BURST + RATE * elapsed + constants.CLOCK_ROUNDING_ERROR_S
         assert len(self.granted) <= allowed, f"{len(self.granted)} granted, {allowed:.2f} allowed"
 
     def end(self):
--- a/tests/permit_fleet.py
+++ b/tests/permit_fleet.py
@@ -31,7 +31,7 @@
         body = real_fleet.document(self.fleet.deployment, note="first")
         body["tenants"][TENANT].update(rate_per_s=rate, burst=burst)
         self.fleet.ready(body=body)
-        self.fleet.run(constants.PERMIT_WAIT_MOST + burst / rate)  # the bucket is full
+        self.fleet.run(constants.PERMIT_LEADER_NOTICE_TTL_S + burst / rate)  # the bucket is full
 
     def request(self, router):
         """One request comes to this router now, if it runs."""
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -178,6 +178,8 @@
         allowed = rate * BOUNDS.window_s + burst + BOUNDS.allowance(rate, burst)
         for end, _ in self.grants[-40:]:
             inside = sum(taken for at, taken in self.grants if end - BOUNDS.window_s < at <= end)
-            assert inside <= allowed + constants.ROUNDING, f"{inside} granted in a window where {allowed} are allowed"
+            assert inside <= allowed + constants.CLOCK_ROUNDING_ERROR_S, (
+                f"{inside} granted in a window where {allowed} are allowed"
+            )
         for earlier, later in zip(self.credits, self.credits[1:], strict=False):
             assert later - earlier > BOUNDS.window_s, f"credits {later - earlier:.2f} s apart"
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -55,11 +55,11 @@
 def test_keepers_without_a_leader_are_given_up_after_a_while(answered):
     keepers = answered(Keepers(up=0.0, leads=1e9))
     assert ask.any_of(KEEPERS, "GET", "/configuration") == NO_LEADER
-    assert constants.ASK_SPAN <= keepers.now < constants.ASK_SPAN + 2 * constants.ASK_PAUSE
+    assert constants.MIN_QUERY_TIME_S <= keepers.now < constants.MIN_QUERY_TIME_S + 2 * constants.QUERY_RETRY_INTERVAL_S
 
 
 def test_slow_refusals_end_after_the_least_number_of_calls(answered):
     keepers = answered(Keepers(up=1e9, leads=1e9, cost=1.0))
     status, said = ask.any_of(KEEPERS, "GET", "/configuration")
     assert (status, said["error"]["verdict"]) == (503, "may_have_run")
-    assert len(keepers.calls) == constants.ASK_TRIES
+    assert len(keepers.calls) == constants.MIN_QUERY_ATTEMPTS
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -54,7 +54,7 @@
         ({"headers": {"x-cutoff-ms": "nan"}}, 400),
         ({"headers": {"x-cutoff-ms": "-1"}}, 400),
         ({"headers": {"x-cutoff-ms": "9e9"}}, 400),
-        ({"data": b" " * (constants.BODY_MOST + 1)}, 413),
+        ({"data": b" " * (constants.MAX_BODY_BYTES + 1)}, 413),
         ({"path": "/v1/chat/completions"}, 400),
         ({"path": "/v1/chat/completions", "body": {"messages": [{"role": "user"}]}}, 400),
         ({"path": "/v1/nothing"}, 404),
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -38,7 +38,7 @@
     def check(case):
         routers, spent = case
         spent[0] += sum(r.take(1) for r in routers.values())
-        assert spent[0] <= constants.BUDGET_SHARE * 12 + 1e-6
+        assert spent[0] <= constants.RETRY_BUDGET_RATIO * 12 + 1e-6
         most.append(spent[0])
 
     most = []
@@ -51,7 +51,7 @@
     one = budget.Budget(Desk(pool, "a"), lambda: ["b"])
     assert not one.extra()
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
-    pool.time += constants.LOAN_LIFE + 0.01
+    pool.time += constants.LOAN_TTL_S + 0.01
     assert not one.extra()  # lapsed; asks anew under the next mark
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 5.0})
     pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": -5.0})
@@ -70,9 +70,9 @@
             if one.take(1):
                 spent.append(pool.time)
             pool.time += 0.01
-    most = constants.SLACK_SHARE * 50.0 / constants.SLACK_LEAST
+    most = constants.RETRY_SLACK_RATIO * 50.0 / constants.MIN_SLACK_ROUTERS
     assert len(spent) == 5 * int(most)  # it was really used in each life
-    assert max(sum(at <= later < at + constants.BUDGET_SPAN for later in spent) for at in spent) <= most
+    assert max(sum(at <= later < at + constants.RETRY_BUDGET_WINDOW_S for later in spent) for at in spent) <= most
 
 
 def test_a_day_of_bounces_spends_loans_and_stays_within_the_fifth():
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -32,14 +32,14 @@
 
 
 def test_the_owner_is_asked_four_times_a_second_by_everyone(steady):
-    beat = 1 / constants.ASK_BEAT
+    beat = 1 / constants.LEASE_RENEWAL_INTERVAL_S
     assert {n: said["state"]["asks at the leader"] for n, said in steady.items()} == {n: beat * (n + 2) for n in steady}
     assert {n: said["state"]["leaseholders"] for n, said in steady.items()} == {n: n + 3 for n in steady}
 
 
 def test_a_view_stays_bounded_and_nothing_crashes(steady):
     for said in steady.values():
-        assert said["state"]["neighbours"] <= transport_constants.VIEW_MOST and said["state"]["faults"] == 0
+        assert said["state"]["neighbours"] <= transport_constants.MAX_VIEW_NEIGHBOURS and said["state"]["faults"] == 0
 
 
 def test_a_change_is_in_force_everywhere(steady):
@@ -52,7 +52,7 @@
     got = {n: trials.steady(few(6, n))["router"]["got bytes, list"] for n in (12, 24, 36, 48)}
     assert max(got.values()) <= 1.05 * min(got.values()) and min(got.values()) > 0
     asked = [said["state"]["list pages asked"] for said in steady.values()]
-    assert max(asked) <= 2 / constants.LIST_BEAT and min(asked) > 0  # one reader, one page
+    assert max(asked) <= 2 / constants.LIST_POLL_INTERVAL_S and min(asked) > 0  # one reader, one page
 
 
 def test_a_document_grows_by_the_same_bytes_with_each_tenant():
@@ -85,7 +85,7 @@
     pages = design.list_pages(design.Size())
     assert len(pages) == -(-design.REPLICAS // design.PAGE) and len(set(design.CELLS)) == design.ZONES
     assert len(design.document(design.Size())["routes"]) == design.TENANTS
-    assert fleet_module.DRAW_BEAT == constants.USAGE_BEAT  # drawn anew once per report
+    assert fleet_module.DRAW_BEAT == constants.LOAD_REPORT_INTERVAL_S  # drawn anew once per report
 
 
 def test_every_slope_has_four_sizes_or_more():
--- a/tests/test_commit_moments.py
+++ b/tests/test_commit_moments.py
@@ -48,8 +48,8 @@
 
 
 def test_only_so_many_commit_indexes_are_kept():
-    moments = moments_of(*((10 + 0.1 * n, n, n - 1, n - 1, n) for n in range(1, 4 * constants.PROOFS_KEPT)))
-    assert len(moments.proofs) == constants.PROOFS_KEPT
+    moments = moments_of(*((10 + 0.1 * n, n, n - 1, n - 1, n) for n in range(1, 4 * constants.MAX_COMMIT_PROOFS)))
+    assert len(moments.proofs) == constants.MAX_COMMIT_PROOFS
     assert moments.not_committed_before(1, 2) is None  # forgotten, not guessed
 
 
@@ -76,7 +76,7 @@
     assert group.history[index]["op"] == "note"
     moment = leader.not_committed_before(index)
     assert moment <= group.committed_at[index]
-    assert abs(proposed_at - moment) < 3 * constants.HEART_BEAT
+    assert abs(proposed_at - moment) < 3 * constants.HEARTBEAT_INTERVAL_S
 
 
 def test_the_walks_check_such_moments():
@@ -134,12 +134,12 @@
 
 def test_a_leader_without_a_majority_proves_nothing_more():
     """It may send for a while after another one was elected and committed what it had only proposed."""
-    assert proofs_while_cut_off() <= 2 * constants.HEART_BEAT
+    assert proofs_while_cut_off() <= 2 * constants.HEARTBEAT_INTERVAL_S
 
 
 def test_without_the_confirmed_round_it_would(monkeypatch):
     monkeypatch.setattr(commit_moments.CommitMoments, "received", received_without("confirmed round"))
-    assert proofs_while_cut_off() > 2 * constants.HEART_BEAT
+    assert proofs_while_cut_off() > 2 * constants.HEARTBEAT_INTERVAL_S
 
 
 def commits_while_appends_are_late():
@@ -204,7 +204,7 @@
 
 def test_a_new_leader_grants_short_older_leases_while_it_can_date_what_is_staged():
     pool, duty = inherited(0.9)
-    assert duty.length() == constants.LEASE_SHORT
+    assert duty.length() == constants.SHORT_LEASE_S
     pool.time += duty.bounds.older_s - 0.9 + 0.01
     assert duty.length() == 0.0
 
@@ -237,7 +237,7 @@
     duty.grant("r:1", {"mark": 2, "staged": 1, "held": 1})
     duty.try_activate()
     assert duty.machine.active == 1  # one that lacks the document holds a lease that was granted just now
-    pool.time += constants.LEASE_SHORT + constants.LEASE_SLACK + 0.01
+    pool.time += constants.SHORT_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
     duty.try_activate()
     assert duty.machine.active == 2
 
@@ -245,6 +245,6 @@
 @pytest.mark.parametrize("in_force_s", [0.5, 1.0, 2.0, 2.5, 8.0])
 def test_no_older_lease_outlasts_the_time_that_the_settings_name(in_force_s):
     bounds = lease_bounds.LeaseBounds(in_force_s)
-    assert bounds.older_s + constants.LEASE_SHORT <= in_force_s
-    assert 0 < bounds.long_s <= min(constants.LEASE_LONG, in_force_s)
+    assert bounds.older_s + constants.SHORT_LEASE_S <= in_force_s
+    assert 0 < bounds.long_s <= min(constants.LONG_LEASE_S, in_force_s)
     assert types.SimpleNamespace(**vars(bounds)).in_force_s == in_force_s
--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -33,18 +33,18 @@
 def test_the_state_does_not_grow_with_the_number_of_changes(activate_every):
     few, many = (len(json.dumps(changed_often(n, 4000, activate_every).dump()["docs"])) for n in (50, 1000))
     assert many < few * 1.05
-    most = constants.HISTORY_BYTES + (1 + constants.STAGED_MOST) * 2 * 4200
+    most = constants.MAX_HISTORY_BYTES + (1 + constants.MAX_STAGED_DOCUMENTS) * 2 * 4200
     assert many < most
 
 
 def test_the_active_and_the_latest_document_are_always_kept():
     machine = config_machine.ConfigMachine()
     for base in range(40):
-        machine.apply(0, stage(base, base + 1, f"order {base}", {"text": "x" * constants.HISTORY_BYTES}))
+        machine.apply(0, stage(base, base + 1, f"order {base}", {"text": "x" * constants.MAX_HISTORY_BYTES}))
         if base in (3, 20):
             machine.apply(0, {"op": "activate", "sequence": base + 1})
         assert machine.latest in machine.docs and (machine.active in machine.docs or not machine.active)
-    assert machine.active == 21 and len(machine.docs) == 1 + constants.STAGED_MOST
+    assert machine.active == 21 and len(machine.docs) == 1 + constants.MAX_STAGED_DOCUMENTS
 
 
 @pytest.mark.parametrize("later", [1, 64, 65, 700, 2600])
@@ -73,10 +73,10 @@
 
 def test_a_whole_record_is_small_and_comes_back_whole():
     taken = taken_orders.TakenOrders()
-    for sequence in range(1, constants.TAKEN_MOST + 101):
+    for sequence in range(1, constants.MAX_REMEMBERED_ORDERS + 101):
         taken.add(f"order {sequence}", sequence)
     text = json.dumps(taken.dump())
-    assert len(text) < 40 * constants.TAKEN_MOST
+    assert len(text) < 40 * constants.MAX_REMEMBERED_ORDERS
     other = taken_orders.TakenOrders()
     other.restore(json.loads(text))
     assert other.sequences == taken.sequences and list(other.sequences) == list(taken.sequences)
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -145,7 +145,7 @@
 
 def test_a_change_that_would_make_the_document_too_large_is_turned_away(monkeypatch):
     member = leader_with_a_configuration()
-    monkeypatch.setattr(constants, "BODY_MOST", 6000)
+    monkeypatch.setattr(constants, "MAX_BODY_BYTES", 6000)
     rows = [route(f"r{n}", f"h{n}") for n in range(40)]
     taken = [
         operators.patch(member, 5 + n, 6 + n, {"deliver": {"itineraries": [row]}})[0] for n, row in enumerate(rows)
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -90,7 +90,7 @@
     member.gates.clear()
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 504
     waited = [span for gate in member.gates for span in gate.waited]
-    assert waited == [constants.OPERATOR_WAIT, pytest.approx(constants.OPERATOR_WAIT - 0.3)]
+    assert waited == [constants.OPERATOR_CALL_TIMEOUT_S, pytest.approx(constants.OPERATOR_CALL_TIMEOUT_S - 0.3)]
 
 
 @STEADY
--- a/tests/test_delivery_connections.py
+++ b/tests/test_delivery_connections.py
@@ -105,7 +105,7 @@
     [("timeout=5", 5), ("timeout=2, max=100", 2), ("max=7, Timeout = 3", 3), (None, None), ("max=7", None)],
 )
 def test_a_connection_is_used_no_longer_than_its_replica_keeps_it(idle, clock, text, span):
-    most = span - constants.KEPT_MARGIN if span else constants.KEPT_IDLE
+    most = span - constants.KEEP_ALIVE_MARGIN_S if span else constants.DEFAULT_KEEP_ALIVE_S
     for wait, used in ((most - 0.01, True), (most + 0.01, False)):
         one = Held()
         idle.give("r:1", one, {"keep-alive": text} if text else {})
@@ -116,16 +116,16 @@
 def test_what_must_not_run_twice_uses_only_connections_used_lately(idle, clock):
     one = Held()
     idle.give("r:1", one, {"keep-alive": "timeout=5"})
-    clock.time += (5 - constants.KEPT_MARGIN) / 2 + 0.01
+    clock.time += (5 - constants.KEEP_ALIVE_MARGIN_S) / 2 + 0.01
     assert idle.take("r:1", True) is None and one.closed
 
 
 def test_only_so_many_are_kept_and_old_ones_end(idle, clock):
-    rows = [Held() for _ in range(constants.KEPT_MOST + 2)]
+    rows = [Held() for _ in range(constants.MAX_IDLE_REPLICA_CONNECTIONS + 2)]
     for row in rows:
         idle.give("r:1", row, {})
-    assert [r.closed for r in rows] == [True] * 2 + [False] * constants.KEPT_MOST
-    clock.time += constants.KEPT_IDLE + 0.01
+    assert [r.closed for r in rows] == [True] * 2 + [False] * constants.MAX_IDLE_REPLICA_CONNECTIONS
+    clock.time += constants.DEFAULT_KEEP_ALIVE_S + 0.01
     idle.give("r:1", Held(), {})
     assert all(r.closed for r in rows)
     for row in rows:
@@ -223,6 +223,6 @@
 def test_idle_connections_to_a_replica_that_is_gone_are_closed(idle, clock):
     gone, other = Held(), Held()
     idle.give("gone:1", gone, {})
-    clock.time += constants.KEPT_IDLE + constants.KEPT_SWEEP + 0.1
+    clock.time += constants.DEFAULT_KEEP_ALIVE_S + constants.IDLE_SWEEP_INTERVAL_S + 0.1
     idle.give("other:1", other, {})
     assert gone.closed and not other.closed and list(idle.idle) == ["other:1"]
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -104,7 +104,7 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.desk.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
@@ -139,7 +139,7 @@
     pool.time += 10
     seat.stand(trial=True)
     assert seat.is_leader and seat.ready
-    pool.time += constants.LEASE_LONG + constants.LEASE_SLACK + 0.01
+    pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
     said = []
     for base, sequence in ((0, 5), (5, 40)):
         seat.propose(stage(base, sequence, f"m{sequence}"), said.append)
@@ -150,15 +150,15 @@
 def test_a_lease_is_long_short_or_none_by_what_is_staged():
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
-    assert duty.length() == constants.LEASE_LONG
+    assert duty.length() == constants.LONG_LEASE_S
     duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)  # one that never says that it has it
     duty.machine.apply(0, stage(5, 40, "b"))
-    assert duty.machine.active == 5 and duty.length() == constants.LEASE_SHORT
+    assert duty.machine.active == 5 and duty.length() == constants.SHORT_LEASE_S
     pool.time += duty.bounds.older_s + 0.01
     assert duty.length() == 0.0
     duty.holders.clear()
     duty.try_activate()
-    assert duty.machine.active == 40 and duty.length() == constants.LEASE_LONG
+    assert duty.machine.active == 40 and duty.length() == constants.LONG_LEASE_S
 
 
 def test_a_new_owner_grants_nothing_old_while_something_is_staged():
@@ -168,7 +168,7 @@
     duty.machine.apply(0, stage(5, 40, "b"))
     duty.start()  # it does not know since when
     assert duty.length() == 0.0 and duty.machine.active == 5
-    pool.time += constants.LEASE_LONG + constants.LEASE_SLACK + 0.01
+    pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
     duty.try_activate()
     assert duty.machine.active == 40
 
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -68,7 +68,7 @@
 
 
 def test_the_parts_used_longest_ago_are_forgotten_first(monkeypatch):
-    monkeypatch.setattr(constants, "KNOWN_PARTS", 3)
+    monkeypatch.setattr(constants, "MAX_KNOWN_PROMPT_PARTS", 3)
     parts = prompt_parts.Parts()
     for key in "abc":
         parts.add("p", [(key, 1)])
@@ -119,7 +119,9 @@
 
 def test_a_queue_too_long_for_the_aim_takes_no_more():
     one, pool = placed(["p1", "d1"])
-    one.reading["p1"][constants.RANKS - 1] = int(constants.ADMIT_SHARE * 1.0 * constants.READ_PACE) + 4000
+    one.reading["p1"][constants.PREFILL_RANK_COUNT - 1] = (
+        int(constants.ADMISSION_QUEUE_RATIO * 1.0 * constants.PREFILL_TOKENS_PER_S) + 4000
+    )
     with pytest.raises(pair_module.Full) as full:
         one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]))
     assert abs(full.value.span - 0.1) < 0.01
@@ -166,7 +168,7 @@
     assert names(one.pair(1, DOCUMENT, "main", ask(parts=[("own", 3000)]))) == ("p2", "d2")
     one.take_others(1, {"d1": usage(5)})  # a newer one takes its place
     assert (one.running("d1"), one.being_read("p1")) == (6, 0)
-    pool.time += constants.USAGE_LIFE - 0.01
+    pool.time += constants.LOAD_TTL_S - 0.01
     assert one.running("d1") == 6
     pool.time += 0.02
     assert one.running("d1") == 0
@@ -200,7 +202,7 @@
         "p1": usage(1, 0.0, [0, 900, 0]),
         "d2": usage(0, 0.75, [0, 0, 0]),
     }
-    pool.time += constants.USAGE_LIFE
+    pool.time += constants.LOAD_TTL_S
     assert duty.sums() == {}
 
 
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -59,7 +59,7 @@
 
 
 def test_snapshot_and_segments_give_back_the_same(tmp_path, monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", 300)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 300)
     one = log(tmp_path)
     for n in range(1, 20):
         one.put([entry(n)])
--- a/tests/test_disk_bounds.py
+++ b/tests/test_disk_bounds.py
@@ -20,7 +20,7 @@
     one.put([entry(n) for n in range(1, 11)])
     size = one.entry_bytes(2)
     assert one.size_of(1) == sum(one.entry_bytes(n) for n in range(1, 11))
-    monkeypatch.setattr(constants, "KEEP_BEHIND_BYTES", 3 * size)
+    monkeypatch.setattr(constants, "MAX_RETAINED_LOG_BYTES", 3 * size)
     one.put_snap({"index": 8, "term": 1, "members": {}, "state": []}, 2)
     for each in (one, log(tmp_path)):
         assert [e["i"] for e in each.entries] == [6, 7, 8, 9, 10]
@@ -29,7 +29,7 @@
 
 
 def test_bytes_since_the_snapshot_are_those_of_the_segments(tmp_path, monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", 300)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 300)
     one = log(tmp_path)
     for n in range(1, 9):
         one.put([entry(n)])
@@ -42,7 +42,7 @@
 
 
 def test_of_many_segments_only_the_last_stays_open(tmp_path, monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", 100)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 100)
     one = log(tmp_path)
     for n in range(1, 30):
         one.put([entry(n)])
@@ -52,9 +52,9 @@
 
 def test_bytes_on_disk_stay_level_over_thousands_of_entries(monkeypatch):
     """Counts every byte at every call, also while the old generation and the new are both there."""
-    monkeypatch.setattr(constants, "SNAP_BYTES", 20000)
-    monkeypatch.setattr(constants, "KEEP_BEHIND_BYTES", 5000)
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", 4000)
+    monkeypatch.setattr(constants, "SNAPSHOT_INTERVAL_BYTES", 20000)
+    monkeypatch.setattr(constants, "MAX_RETAINED_LOG_BYTES", 5000)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 4000)
     folder = volatile_folder.VolatileFolder()
     peaks = [0]
 
@@ -68,8 +68,8 @@
             part = log_crashes.open_log(folder)
             peaks.append(0)
         part.put([entry(n)])
-        if part.bytes_since_snapshot > constants.SNAP_BYTES:
+        if part.bytes_since_snapshot > constants.SNAPSHOT_INTERVAL_BYTES:
             part.put_snap(log_crashes.snapshot(n), part.base)
-    snapshot_file = constants.KEEP_BEHIND_BYTES + 1000
-    most = 2 * snapshot_file + constants.SNAP_BYTES + constants.SEGMENT_BYTES
+    snapshot_file = constants.MAX_RETAINED_LOG_BYTES + 1000
+    most = 2 * snapshot_file + constants.SNAPSHOT_INTERVAL_BYTES + constants.LOG_SEGMENT_BYTES
     assert max(peaks) < most and max(peaks[1:-1]) < 1.05 * min(peaks[1:-1])
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture(params=[1, 150, 262144], ids="segment of {} bytes".format)
 def segment_bytes(request, monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", request.param)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", request.param)
 
 
 def test_power_lost_at_every_call_of_every_write(segment_bytes):
--- a/tests/test_disk_damage.py
+++ b/tests/test_disk_damage.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture(params=[1, 150, 262144], ids="segment of {} bytes".format)
 def segment_bytes(request, monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", request.param)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", request.param)
 
 
 def finished():
@@ -73,7 +73,7 @@
 
 
 def test_every_altered_byte_and_every_lost_write_but_the_last_is_damage(monkeypatch):
-    monkeypatch.setattr(constants, "SEGMENT_BYTES", 400)
+    monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 400)
     folder = volatile_folder.VolatileFolder()
     log = log_crashes.open_log(folder)
     log.put([log_crashes.entry(1), log_crashes.entry(2)])
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -75,5 +75,5 @@
     f.disks[name].full = False
     f.run(5)
     assert f.parts[name] is one and one.condition()["serving"]
-    assert [member.who for member in one.members] == [who] * constants.PARTS
+    assert [member.who for member in one.members] == [who] * constants.PART_COUNT
     assert {m.machine.latest for m in (f.parts[n].members[0] for n in f.names("keep"))} == {len(f.writes)}
--- a/tests/test_disk_walks.py
+++ b/tests/test_disk_walks.py
@@ -39,13 +39,13 @@
 
     def __init__(self):
         super().__init__()
-        self.segment_bytes, constants.SEGMENT_BYTES = constants.SEGMENT_BYTES, 150
-        self.kept_bytes, constants.KEEP_BEHIND_BYTES = constants.KEEP_BEHIND_BYTES, 400
+        self.segment_bytes, constants.LOG_SEGMENT_BYTES = constants.LOG_SEGMENT_BYTES, 150
+        self.kept_bytes, constants.MAX_RETAINED_LOG_BYTES = constants.MAX_RETAINED_LOG_BYTES, 400
         self.folder = volatile_folder.VolatileFolder()
         self.log = log_crashes.open_log(self.folder)
 
     def teardown(self):
-        constants.SEGMENT_BYTES, constants.KEEP_BEHIND_BYTES = self.segment_bytes, self.kept_bytes
+        constants.LOG_SEGMENT_BYTES, constants.MAX_RETAINED_LOG_BYTES = self.segment_bytes, self.kept_bytes
 
     # --- writes, whole or interrupted ----------------------------------------
     def interrupt(self, at, make_error):
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -37,10 +37,10 @@
 
 def test_it_is_asked_for_soon_until_it_is_here(process):
     process.listed.tick()
-    assert process.desk.delay <= 1.1 * constants.LIST_ASK_FIRST
+    assert process.desk.delay <= 1.1 * constants.INITIAL_LIST_REQUEST_INTERVAL_S
     process.listed.on_news("b:1", news(d1={**ROW, "role": "decode", "slots": 8}))
     process.listed.tick()
-    assert process.desk.delay >= 0.9 * constants.LIST_ASK
+    assert process.desk.delay >= 0.9 * constants.LIST_REQUEST_INTERVAL_S
 
 
 def test_a_process_whose_first_keeper_is_dead_has_it_within_half_a_second(process):
@@ -60,7 +60,7 @@
 
 
 class LateList:
-    """A list that answers after LIST_TIME without a word, so many times, and then at once."""
+    """A list that answers after LIST_READ_TIMEOUT_S without a word, so many times, and then at once."""
 
     def __init__(self, pool, silent, fault):
         self.pool, self.silent, self.fault = pool, silent, fault
@@ -68,7 +68,7 @@
     def rows(self, desk, url):
         if self.silent:
             self.silent -= 1
-            self.pool.time += constants.LIST_TIME
+            self.pool.time += constants.LIST_READ_TIMEOUT_S
             raise self.fault
         return {"d1": {**ROW, "role": "decode", "slots": 8}}
 
@@ -80,8 +80,12 @@
     reads = []
     process.desk.spawn = reads.append
     process.listed.speech = LateList(process.pool, silent, fault)
-    interval = 1.1 * constants.LIST_ASK_FIRST
-    bound = 2 * constants.LIST_SILENT + silent * (constants.LIST_TIME + constants.LIST_ASK + interval) + 2 * interval
+    interval = 1.1 * constants.INITIAL_LIST_REQUEST_INTERVAL_S
+    bound = (
+        2 * constants.LIST_MAX_AGE_S
+        + silent * (constants.LIST_READ_TIMEOUT_S + constants.LIST_REQUEST_INTERVAL_S + interval)
+        + 2 * interval
+    )
     end = process.pool.time + bound
     while not process.listed.rows:
         assert process.pool.time <= end
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -51,9 +51,9 @@
 @pytest.mark.parametrize("size, lost", list(itertools.product([3, 5], range(6))))
 def test_after_a_leader_is_lost_its_leases_have_run_out_when_the_next_one_activates(size, lost):
     leader, granted = one_loss(size, lost)
-    end = leader.former_leases_end(constants.LEASE_LONG)
-    assert granted + constants.LEASE_LONG <= end
-    assert end - leader.won_at < constants.LEASE_LONG - 0.5  # the votes' hold is not waited for twice
+    end = leader.former_leases_end(constants.LONG_LEASE_S)
+    assert granted + constants.LONG_LEASE_S <= end
+    assert end - leader.won_at < constants.LONG_LEASE_S - 0.5  # the votes' hold is not waited for twice
 
 
 def test_after_a_hand_over_the_whole_lease_is_waited_for():
@@ -62,16 +62,16 @@
     former = hand_over(group)
     successor = group.seats[leader_of(group)]
     assert successor.who != former.who and successor.handed
-    assert successor.former_leases_end(constants.LEASE_LONG) >= successor.won_at + constants.LEASE_LONG
+    assert successor.former_leases_end(constants.LONG_LEASE_S) >= successor.won_at + constants.LONG_LEASE_S
 
 
 def wait_without(held):
     """A wait for former leases from which this many seconds are taken off, however the leader was elected."""
-    return lambda self, lease_s: self.won_at + lease_s - held + constants.LEASE_SLACK
+    return lambda self, lease_s: self.won_at + lease_s - held + constants.LEASE_CLOCK_MARGIN_S
 
 
 def test_the_check_finds_a_wait_that_is_as_short_after_a_hand_over(monkeypatch):
-    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(constants.VOTE_HOLD))
+    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(constants.VOTE_WITHHOLD_S))
     group = group_model.Group(3, 1)
     group.rest()
     with pytest.raises(AssertionError, match="^a lease of term"):
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("size", [3, 5])
 def test_the_check_finds_a_wait_that_takes_off_more_than_the_votes_hold(monkeypatch, size):
-    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(2 * constants.VOTE_HOLD))
+    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(2 * constants.VOTE_WITHHOLD_S))
     with pytest.raises(AssertionError, match="^a lease of term"):
         one_loss(size, 0)
 
--- a/tests/test_front_threads.py
+++ b/tests/test_front_threads.py
@@ -7,7 +7,7 @@
 import mothshed.constants as constants
 import mothshed.http.front as front
 
-MOST = 3 * constants.FRONT_STEP
+MOST = 3 * constants.SERVER_STEP_THREADS
 
 
 def test_threads_come_with_the_requests_that_need_them():
@@ -19,7 +19,7 @@
 
     server = front.Server("127.0.0.1:0", app, MOST)
     server.prepare()
-    assert len(server.requests._threads) == constants.FRONT_STEP
+    assert len(server.requests._threads) == constants.SERVER_STEP_THREADS
     threading.Thread(target=server.serve, daemon=True).start()
     try:
         address = ("127.0.0.1", server.bind_addr[1])
@@ -46,16 +46,18 @@
     server = front.Server("127.0.0.1:0", lambda environ, start: front.respond(start, 200, b"ok"), MOST)
     server.prepare()
     try:
-        server.requests.grow(MOST - constants.FRONT_STEP)
+        server.requests.grow(MOST - constants.SERVER_STEP_THREADS)
         now, threads = server.many_idle_since, list(server.requests._threads)
-        server.fit_threads(now + constants.FRONT_REST / 2)
+        server.fit_threads(now + constants.SERVER_THREAD_IDLE_S / 2)
         wait_until_alive(threads, MOST)  # a short rest ends none
-        for left in (MOST - constants.FRONT_STEP, MOST - 2 * constants.FRONT_STEP):
-            now += constants.FRONT_REST + 0.1
+        for left in (MOST - constants.SERVER_STEP_THREADS, MOST - 2 * constants.SERVER_STEP_THREADS):
+            now += constants.SERVER_THREAD_IDLE_S + 0.1
             server.fit_threads(now)
             wait_until_alive(threads, left)
             server.requests.shrink(0)  # takes the ended ones off the library's list
-        server.fit_threads(now + 10 * constants.FRONT_REST)
-        assert len(server.requests._threads) == MOST - 2 * constants.FRONT_STEP == constants.FRONT_STEP
+        server.fit_threads(now + 10 * constants.SERVER_THREAD_IDLE_S)
+        assert (
+            len(server.requests._threads) == MOST - 2 * constants.SERVER_STEP_THREADS == constants.SERVER_STEP_THREADS
+        )
     finally:
         server.stop()
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -19,7 +19,13 @@
     deadline=None,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-SMALL = {"SNAP_EVERY": 4, "KEEP_BEHIND": 1, "PIECE_BYTES": 64, "WINDOW_BYTES": 300, "APPEND_BYTES": 120}
+SMALL = {
+    "SNAPSHOT_INTERVAL_ENTRIES": 4,
+    "MAX_RETAINED_LOG_ENTRIES": 1,
+    "SNAPSHOT_CHUNK_CHARS": 64,
+    "REPLICATION_WINDOW_BYTES": 300,
+    "MAX_APPEND_BYTES": 120,
+}
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -48,7 +48,7 @@
 
 def test_an_idle_connection_rests_for_the_whole_limit_and_a_margin(manager, clock):
     conn = Conn(manager)
-    clock.time += constants.IDLE_LIMIT + constants.IDLE_MARGIN - 0.01
+    clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + constants.IDLE_CLOSE_MARGIN_S - 0.01
     manager._expire(0)
     assert not conn.closed
     clock.time += 0.02
@@ -59,14 +59,14 @@
 @pytest.mark.parametrize("rested", [0.0, 4.0, 11.0])
 def test_after_a_shorter_limit_the_longer_one_holds_for_its_span(manager, clock, rested):
     manager.server.limit_idle(15.0)
-    clock.time += constants.IDLE_LIMIT + 0.01  # the first limit no longer counts
+    clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + 0.01  # the first limit no longer counts
     conn = Conn(manager)
     clock.time += rested
     manager.server.limit_idle(2.0)
     clock.time += 0.8 * 15.0 - rested  # as long as a caller may let it rest that knows the old limit
     manager._expire(0)
     assert not conn.closed
-    clock.time += 0.2 * 15.0 + rested + constants.IDLE_MARGIN
+    clock.time += 0.2 * 15.0 + rested + constants.IDLE_CLOSE_MARGIN_S
     manager._expire(0)
     assert conn.closed
 
@@ -119,7 +119,7 @@
 
 @pytest.fixture
 def gated(monkeypatch):
-    monkeypatch.setattr(constants, "IDLE_MARGIN", 0.0)
+    monkeypatch.setattr(constants, "IDLE_CLOSE_MARGIN_S", 0.0)
     found = Gated()
     yield found
     found.go.set()
--- a/tests/test_keys_of_our_interface.py
+++ b/tests/test_keys_of_our_interface.py
@@ -139,7 +139,7 @@
     held = [True]
     former = fleet.router.admission.take
     monkeypatch.setattr(fleet.router.admission, "take", lambda *order: None if held[0] else former(*order))
-    monkeypatch.setattr(constants, "QUEUE_WAIT", 5.0)
+    monkeypatch.setattr(constants, "MAX_QUEUE_WAIT_S", 5.0)
 
     def go_on():
         held[0] = False
--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -35,7 +35,7 @@
     stage(duty, 2)
     deliver_all(pool)
     assert [lease.sequence() for lease in leases] == [2] * routers
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     for lease in leases:
         lease.ask()
     deliver_all(pool)
@@ -79,7 +79,7 @@
     pool, duty, (lease,) = deployment()
     stage(duty, 3)
     pool.waiting.clear()
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     lease.ask()
     pool.deliver(0)
     assert sent(pool) == [([], [(3, 2)])]
@@ -105,7 +105,7 @@
     pool, duty, (lease,) = deployment()
     stage(duty, 3)
     lease.docs = {0: {}}
-    pool.time += constants.ASK_BEAT_SHORT
+    pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     pool.deliver(0)  # the change
     assert lease.staged == 2 and not lease.takes_changes
     lease.ask()
@@ -163,7 +163,7 @@
         pool.waiting.clear()
     del duty.machine.docs[2]
     duty.delivery.drop_oldest()
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     duty.activates_from = pool.time + 10
     lease.ask()
     pool.deliver(0)
@@ -175,7 +175,7 @@
     for number in range(3, 80):
         stage(duty, number)
         deliver_all(pool)
-    most = constants.DELIVERED_MOST + len(duty.machine.docs)
+    most = constants.MAX_DELIVERED_DOCUMENTS + len(duty.machine.docs)
     assert len(duty.delivery.forms) <= most and len(duty.delivery.differences) <= most
     assert lease.document() == document(79) and len(lease.docs) <= 2
 
@@ -197,7 +197,7 @@
 @lease_state.STEADY
 @hypothesis.given(strategies.lists(strategies.sampled_from(ACTS), max_size=60))
 def test_documents_are_exact_and_bounds_hold_whatever_is_lost(takes_changes, acts):
-    """Two seconds after an acknowledgement and LEASE_SHORT after an activation nothing older is served."""
+    """Two seconds after an acknowledgement and SHORT_LEASE_S after an activation nothing older is served."""
     pool, duty, leases = deployment(2)
     for lease in leases:
         lease.takes_changes = takes_changes
@@ -230,7 +230,7 @@
             assert all(held == document(s) for s, held in lease.docs.items() if s > 1)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_s + constants.LEASE_SHORT + 1e-9
+                assert lease.until <= at + duty.bounds.older_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
-                assert lease.until <= at + constants.LEASE_SHORT + 1e-9
+                assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -13,7 +13,7 @@
     return lease_module.Lease(all_orders.HandDesk(pool, ADDRESS, life), lambda: [KEEPER])
 
 
-def grant(ask, length=constants.LEASE_LONG):
+def grant(ask, length=constants.LONG_LEASE_S):
     """The grant that answers an ask, as a leader would send it."""
     return {
         "part": 0,
@@ -57,7 +57,7 @@
     receive = pool.ears[ADDRESS][("grant", 0)]
     pool.time += 0.5
     receive(KEEPER, grant(ask(pool, lease)))
-    pool.time += constants.LEASE_LONG + 1.0
+    pool.time += constants.LONG_LEASE_S + 1.0
     for _ in range(4):
         receive(KEEPER, grant(ask(pool, lease), 0.0))
         assert lease.sequence() is None
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -40,7 +40,7 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.desk.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
@@ -60,7 +60,7 @@
     while pool.waiting:
         pool.deliver(0)
     assert [lease.sequence() for lease in leases] == [1] * routers
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     return pool, duty, leases
 
 
@@ -91,7 +91,7 @@
     pool.deliver(1)  # the ask overtakes nothing: the grant that follows carries no second copy
     assert documents_sent(pool) == [2]
     pool.waiting.clear()
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     leases[0].ask()
     pool.deliver(0)
     assert documents_sent(pool) == [2]
@@ -120,7 +120,7 @@
     while pool.waiting:
         pool.deliver(0)
     assert duty.machine.active == 2
-    pool.time += constants.RESEND_AFTER
+    pool.time += constants.DOCUMENT_RESEND_S
     leases[0].ask()
     while pool.waiting:
         pool.deliver(0)
@@ -142,7 +142,7 @@
     )
 )
 def test_the_bounds_hold_whatever_is_lost_skipped_or_late(acts):
-    """Two seconds after an acknowledgement and LEASE_SHORT after an activation nothing older is served."""
+    """Two seconds after an acknowledgement and SHORT_LEASE_S after an activation nothing older is served."""
     pool, duty, leases = deployment(2)
     acknowledged, activated = {1: pool.time}, {}
     for act in acts + ["wait"] * 4:
@@ -163,10 +163,10 @@
             activated.setdefault(number, pool.time)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_s + constants.LEASE_SHORT + 1e-9
+                assert lease.until <= at + duty.bounds.older_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
-                assert lease.until <= at + constants.LEASE_SHORT + 1e-9
+                assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
 
 
 class TimedDesk(all_orders.HandDesk):
@@ -186,11 +186,11 @@
     pool = all_orders.Pool()
     lease = lease_module.Lease(TimedDesk(pool, "r:1"), lambda: ["a:1"])
     lease.desk.beats.pop()()  # its first tick
-    lease.on_grant("a:1", grant(lease, constants.LEASE_LONG, 1, [[1, {"n": 1}]]))
+    lease.on_grant("a:1", grant(lease, constants.LONG_LEASE_S, 1, [[1, {"n": 1}]]))
     for _turn in range(2):  # the activation's ask, and then the usual beat
-        pool.time += constants.ASK_BEAT_SHORT
+        pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
         lease.desk.due.pop().call()
-    pool.time += constants.ASK_BEAT_SHORT
+    pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     return pool, lease
 
 
@@ -204,15 +204,15 @@
         asked = lease.mark
         lease.on_news("a:1", news)
         assert lease.mark == asked + 1 and len(lease.desk.due) == 1
-        pool.time += constants.ASK_BEAT_SHORT
+        pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     assert lease.active == 2
 
 
 def test_after_a_short_grant_the_next_ask_comes_within_the_short_beat():
     pool, lease = timed_lease()
     lease.ask()
-    lease.on_grant("a:1", grant(lease, constants.LEASE_SHORT, 1))
-    assert [entry.at - pool.time <= constants.ASK_BEAT_SHORT for entry in lease.desk.due] == [True]
+    lease.on_grant("a:1", grant(lease, constants.SHORT_LEASE_S, 1))
+    assert [entry.at - pool.time <= constants.SHORT_LEASE_RENEWAL_INTERVAL_S for entry in lease.desk.due] == [True]
 
 
 def test_however_much_news_comes_at_once_one_ask_goes_out():
--- a/tests/test_lease_storm.py
+++ b/tests/test_lease_storm.py
@@ -44,7 +44,7 @@
     lease = f.parts["route-1"].lease
     before, began = lease.mark, f.loop.time
     storm(f, 20, gap)
-    assert lease.mark - before <= (f.loop.time - began) / constants.ASK_BEAT_SHORT + 1
+    assert lease.mark - before <= (f.loop.time - began) / constants.SHORT_LEASE_RENEWAL_INTERVAL_S + 1
     before = lease.mark
     f.run(5)
-    assert lease.mark - before <= 5 / constants.ASK_BEAT + 1
+    assert lease.mark - before <= 5 / constants.LEASE_RENEWAL_INTERVAL_S + 1
--- a/tests/test_leave_in_doubt.py
+++ b/tests/test_leave_in_doubt.py
@@ -27,26 +27,26 @@
 
 
 def test_a_settled_leader_lets_a_voter_go_that_nobody_can_replace(group):
-    group.pool.time += constants.JOIN_KNOWN
+    group.pool.time += constants.JOIN_COLLECTION_S
     assert asked_to_leave(group) == [True]  # it restarts, and keeps its place meanwhile
 
 
 def test_a_leader_that_has_committed_nothing_yet_lets_nobody_go(group):
-    group.pool.time += constants.JOIN_KNOWN
+    group.pool.time += constants.JOIN_COLLECTION_S
     leader_of(group).ready = False
     assert asked_to_leave(group) == [False]
 
 
 def test_a_leader_just_elected_waits_until_newcomers_have_asked_it(group):
-    """A newcomer asks to join every JOIN_BEAT: before that, a leader without learners knows nothing."""
+    """A newcomer asks to join every JOIN_REQUEST_INTERVAL_S: before that, a leader without learners knows nothing."""
     leader = leader_of(group)
-    leader.won_at = group.pool.time - constants.JOIN_BEAT / 2
+    leader.won_at = group.pool.time - constants.JOIN_REQUEST_INTERVAL_S / 2
     assert asked_to_leave(group) == [False]
-    leader.won_at = group.pool.time - constants.JOIN_KNOWN
+    leader.won_at = group.pool.time - constants.JOIN_COLLECTION_S
     assert asked_to_leave(group) == [True]
 
 
 def test_a_replacement_that_is_under_way_is_waited_for(group):
-    group.pool.time += constants.JOIN_KNOWN
+    group.pool.time += constants.JOIN_COLLECTION_S
     leader_of(group).learners["N/1"] = {"address": "n:1", "http": "", "at": group.pool.time}
     assert asked_to_leave(group) == [False]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -34,7 +34,7 @@
     read(far)
     assert "r099" in far.usable({})
     rows = talk.hints()
-    assert len(rows) == transport_constants.HINTS_MOST
+    assert len(rows) == transport_constants.MAX_RECORD_HINTS
     for row in rows:
         other.take(row)
     assert "r099" not in far.usable({})
@@ -43,7 +43,7 @@
         read(far)  # its own list lags: still shown ready
         assert "r099" not in far.usable({}) and len(far.usable({})) == len(NAMES) - 1
     read(near)  # ready again, and nobody says otherwise any more
-    pool.time += constants.LEAVE_KEEP
+    pool.time += constants.LEAVING_MARK_TTL_S
     read(far)
     assert "r099" in far.usable({}) and not any("leaving" in row for row in talk.hints())
 
@@ -52,7 +52,7 @@
     pool = all_orders.Pool()
     found = reader(pool, "a")[0]
     read(found)
-    pool.time += constants.LIST_TRIED + 0.1
+    pool.time += constants.LIST_ATTEMPT_MAX_AGE_S + 0.1
     for n in NAMES:
         found.take_condition(n, pool.time, 0, SAID)
     assert found.usable({}) == {}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -30,7 +30,7 @@
     one, two = make_node(clock), make_node(clock)
     one.send(two.address, 1)
     two.wait_for(1)
-    clock.seconds += transport_constants.PEER_IDLE + 0.1
+    clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
     peer_nodes.until(lambda: one.links() == two.links() == 0)
     assert one.count("closed") + two.count("closed") == 2 and one.count("lost") + two.count("lost") == 0
     one.send(two.address, 2)
@@ -44,7 +44,7 @@
     for mark in range(1, 6):
         one.send(two.address, mark)
         two.wait_for(mark)
-        clock.seconds += transport_constants.PEER_IDLE * 0.75
+        clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S * 0.75
         looked = one.loop.looked_at
         peer_nodes.until(lambda looked=looked: one.loop.looked_at > looked)
     assert one.count("opened") == 1 and one.links() == 1
@@ -53,7 +53,7 @@
 def test_what_is_sent_while_the_other_side_closes_still_arrives(make_node):
     node = make_node()
     with peer_nodes.raw_peer(node) as conn:
-        node.clock.seconds += transport_constants.PEER_IDLE + 0.1
+        node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
         assert conn.recv(1) == b""  # it has shut its direction
         conn.sendall(peer_nodes.packed(2))
         node.wait_for(2)
@@ -96,9 +96,9 @@
 def test_a_side_that_never_ends_is_given_up(make_node):
     node = make_node()
     with peer_nodes.raw_peer(node):
-        node.clock.seconds += transport_constants.PEER_IDLE + 0.1
+        node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
         peer_nodes.until(lambda: not node.loop.table.by_peer)
-        node.clock.seconds += transport_constants.PEER_SILENT + 0.1
+        node.clock.seconds += transport_constants.PEER_ACK_TIMEOUT_S + 0.1
         peer_nodes.until(lambda: node.links() == 0)
     assert node.count("lost") == 1
 
@@ -138,7 +138,7 @@
             for number in range(count):
                 node.send(f"10.9.{number // 250}.{number % 250}:1", number)
             links, new_threads = node.links(), set(threading.enumerate()) - threads
-            node.clock.seconds += transport_constants.PEER_IDLE + 0.1
+            node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
             peer_nodes.until(lambda: not node.loop.table.by_peer)
             descriptors = len(os.listdir("/proc/self/fd"))
             for conn in conns:
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -15,7 +15,9 @@
     out_s=strategies.sampled_from([0.0, 0.0, 0.5, 2.0]),
     answered=strategies.integers(0, 9).map(lambda n: n / 4),
     failed=strategies.integers(0, 9).map(lambda n: n / 4),
-    reading=strategies.lists(strategies.integers(0, 9), min_size=constants.RANKS, max_size=constants.RANKS),
+    reading=strategies.lists(
+        strategies.integers(0, 9), min_size=constants.PREFILL_RANK_COUNT, max_size=constants.PREFILL_RANK_COUNT
+    ),
     events=strategies.integers(0, 9),
     events_s=strategies.integers(0, 9).map(lambda n: n / 8),
 )
@@ -31,7 +33,7 @@
     """The sums as adding up every report anew gives them."""
     total = {}
     for sender, (at, loads) in reports.items():
-        if sender != but and now - at < constants.USAGE_LIFE:
+        if sender != but and now - at < constants.LOAD_TTL_S:
             for name, load in loads.items():
                 total.setdefault(name, replica_load.ReplicaLoad()).add(load, now - at)
     return total
@@ -61,7 +63,7 @@
     clock = [100.0]
     sums = load_sums.LoadSums(lambda: clock[0])
     sums.take("r:1", {"a": replica_load.ReplicaLoad(3, 0.5, answered=0.1)})
-    clock[0] += constants.USAGE_LIFE
+    clock[0] += constants.LOAD_TTL_S
     assert sums.without() == {}
     assert not (sums.reports or sums.totals or sums.out_until or +sums.reporters)
 
--- a/tests/test_log_transfer.py
+++ b/tests/test_log_transfer.py
@@ -16,11 +16,11 @@
 
 def test_the_window_fills_and_an_acknowledgement_opens_it():
     progress = make_progress()
-    progress.sent(1, 4, constants.WINDOW_BYTES - 10)
+    progress.sent(1, 4, constants.REPLICATION_WINDOW_BYTES - 10)
     progress.sent(2, 6, 10)
     assert progress.room() == 0 and progress.next == 7
     progress.accepted(4, 1)
-    assert progress.room() == constants.WINDOW_BYTES - 10 and (progress.match, progress.next) == (4, 7)
+    assert progress.room() == constants.REPLICATION_WINDOW_BYTES - 10 and (progress.match, progress.next) == (4, 7)
 
 
 def test_an_echo_of_a_later_round_shows_what_was_lost():
@@ -71,7 +71,7 @@
 
 
 def test_a_snapshot_comes_whole_over_a_link_that_loses_pieces_and_answers(monkeypatch):
-    monkeypatch.setattr(constants, "PIECE_BYTES", 50)
+    monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_CHARS", 50)
     state = {"rows": list(range(300)), "text": "é" * 40}
     chance = random.Random(3)
     found, _ = transfer(state, lose=lambda turn: chance.random() < 0.4)
@@ -79,7 +79,7 @@
 
 
 def test_a_piece_that_was_spoilt_on_its_way_is_not_installed(monkeypatch):
-    monkeypatch.setattr(constants, "PIECE_BYTES", 50)
+    monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_CHARS", 50)
     state, spoilt = {"rows": list(range(100))}, []
 
     def spoil(fields):
@@ -93,7 +93,7 @@
 
 
 def test_pieces_of_two_snapshots_are_never_joined(monkeypatch):
-    monkeypatch.setattr(constants, "PIECE_BYTES", 50)
+    monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_CHARS", 50)
     older = snapshot_transfer.Encoded({"index": 7, "term": 2, "state": list(range(100))})
     newer = snapshot_transfer.Encoded({"index": 9, "term": 2, "state": list(range(100, 200))})
     first, second, receiver = (*map(snapshot_transfer.Transfer, (older, newer)), snapshot_transfer.Collector())
@@ -109,9 +109,9 @@
 
 
 def test_a_large_snapshot_is_under_way_in_one_piece_at_a_time(monkeypatch):
-    monkeypatch.setattr(constants, "SNAP_EVERY", 8)
-    monkeypatch.setattr(constants, "KEEP_BEHIND", 1)
-    monkeypatch.setattr(constants, "PIECE_BYTES", 64)
+    monkeypatch.setattr(constants, "SNAPSHOT_INTERVAL_ENTRIES", 8)
+    monkeypatch.setattr(constants, "MAX_RETAINED_LOG_ENTRIES", 1)
+    monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_CHARS", 64)
     group = group_model.Group(3, 1)
     group.rest()
     leader = next(name for name, seat in group.seats.items() if seat.is_leader)
@@ -119,7 +119,7 @@
     group.crash(away)
     for _ in range(40):
         group.propose(leader)
-        group.pool.time += constants.ROUND_GAP
+        group.pool.time += constants.MIN_ROUND_INTERVAL_S
         while group.pool.waiting:
             group.pool.deliver(0)
     group.boot(away)
@@ -138,8 +138,8 @@
 
 def test_what_is_kept_and_sent_is_level_in_the_number_of_changes():
     few, many = changes.one(100), changes.one(400)
-    assert many.sent_to_catch_up < 2 * few.sent_to_catch_up + constants.PIECE_BYTES
-    assert many.entries <= constants.SNAP_EVERY + constants.KEEP_BEHIND
-    assert many.log < 2 * few.log + constants.KEEP_BEHIND_BYTES
+    assert many.sent_to_catch_up < 2 * few.sent_to_catch_up + constants.SNAPSHOT_CHUNK_CHARS
+    assert many.entries <= constants.SNAPSHOT_INTERVAL_ENTRIES + constants.MAX_RETAINED_LOG_ENTRIES
+    assert many.log < 2 * few.log + constants.MAX_RETAINED_LOG_BYTES
     assert many.sent_while_away < 5 * few.sent_while_away  # a change costs the same, however many there were
     assert max(few.caught_up, many.caught_up) < 1.0
--- a/tests/test_open_disk.py
+++ b/tests/test_open_disk.py
@@ -24,7 +24,7 @@
 
     monkeypatch.setattr(disk_module.Disk, "put", refuse)
     disk = serving.open_disk(str(tmp_path / "data"), sleep)
-    assert pauses == [constants.DISK_RETRY] * 3
+    assert pauses == [constants.DISK_RETRY_INTERVAL_S] * 3
     assert disk.read("probe") == b"."
 
 
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -37,8 +37,8 @@
     member = operators.Member()
     member.mailbox_stuck = True
     CALLS[name](member)
-    assert [span for gate in member.gates for span in gate.waited] == [constants.OPERATOR_WAIT]
-    assert constants.OPERATOR_WAIT < 1.0
+    assert [span for gate in member.gates for span in gate.waited] == [constants.OPERATOR_CALL_TIMEOUT_S]
+    assert constants.OPERATOR_CALL_TIMEOUT_S < 1.0
 
 
 def test_a_write_that_its_mailbox_has_not_begun_is_withdrawn():
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize(
-    "age, status", [(0.0, 307), (constants.LEADER_FRESH - 0.01, 307), (constants.LEADER_FRESH, 503)]
+    "age, status", [(0.0, 307), (constants.LEADER_HINT_MAX_AGE_S - 0.01, 307), (constants.LEADER_HINT_MAX_AGE_S, 503)]
 )
 def test_a_follower_names_only_a_leader_heard_of_lately(age, status):
     member = operators.Member()
@@ -141,7 +141,7 @@
 def test_an_edition_that_records_cannot_carry_is_turned_away(edition):
     member = operators.Member()
     assert operators.put(member, 0, edition)[0] == 400 and member.proposed == []
-    assert operators.put(member, 0, constants.SEQUENCE_MOST)[0] == 200
+    assert operators.put(member, 0, constants.MAX_SEQUENCE_NUMBER)[0] == 200
 
 
 @pytest.mark.parametrize("value", [float("nan"), float("inf")])
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -54,7 +54,7 @@
     def change(group):
         for who in others:
             group.freeze("A")
-            group.pool.time += constants.VOTE_HOLD
+            group.pool.time += constants.VOTE_WITHHOLD_S
             group.lead(who)
         group.frozen.clear()
 
@@ -65,8 +65,8 @@
     "change, written",
     [
         (wait(0.0), True),
-        (wait(constants.VOTE_HOLD / 2), True),
-        (wait(constants.VOTE_HOLD), False),
+        (wait(constants.VOTE_WITHHOLD_S / 2), True),
+        (wait(constants.VOTE_WITHHOLD_S), False),
         (wait(20.0), False),
         (led_by("B"), False),
         (led_by("B", "C"), False),
--- a/tests/test_order_turns.py
+++ b/tests/test_order_turns.py
@@ -43,7 +43,7 @@
     for act, who, turn in acts:
         awake = [name for name in "ABC" if name not in group.frozen]
         if act == "take over":
-            group.pool.time += constants.VOTE_HOLD
+            group.pool.time += constants.VOTE_WITHHOLD_S
             group.lead(who)
         elif act == "freeze" and group.leader:
             group.freeze(group.leader)
@@ -59,13 +59,13 @@
                 sends.remove(send)
                 send.write()
         elif act == "wait":
-            order_group.wait_a_while(group, (0.1, 1.0, tenure + constants.TURN_MARGIN + 0.01, 20.0)[turn])
+            order_group.wait_a_while(group, (0.1, 1.0, tenure + constants.ORDER_DELIVERY_MARGIN_S + 0.01, 20.0)[turn])
     for (at, who, fence), (later, other, higher) in itertools.pairwise(group.arrived):
         assert higher > fence or (higher == fence and who == other)
         assert who == other or later - at >= tenure
 
 
-@pytest.mark.parametrize("tenure, gap", [(None, constants.TURN_GAP), (1.0, 1.2), (3.0, 3.2), (12.0, 12.2)])
+@pytest.mark.parametrize("tenure, gap", [(None, constants.FIRST_ORDER_DELAY_S), (1.0, 1.2), (3.0, 3.2), (12.0, 12.2)])
 def test_a_new_holder_waits_as_long_as_its_deployment_says(tenure, gap):
     group = order_group.Group(tenure)
     group.lead("A")
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -149,14 +149,14 @@
         call(self.machine.apply(0, command))
 
     def former_leases_end(self, lease_s):
-        return self.desk.now() + lease_s + constants.LEASE_SLACK
+        return self.desk.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
         return None  # nothing is known of another leader's time
 
 
 def test_stage_activate_and_lapse_in_any_order():
-    """However records, losses and time fall: once a document is active, no older lease outlasts LEASE_SHORT."""
+    """However records, losses and time fall: once a document is active, no older lease outlasts SHORT_LEASE_S."""
     acts = ["stage", "deliver", "deliver", "lose", "wait-long", "ask", "wait-short", "deliver"]
     seen = set()
     for order in sorted(set(all_orders.orders(acts))):
@@ -188,7 +188,7 @@
             if duty.machine.active == 2 and active_at is None:
                 active_at = pool.time
             if active_at is not None and lease.active == 1:
-                assert lease.until <= active_at + constants.LEASE_SHORT + 1e-9
+                assert lease.until <= active_at + constants.SHORT_LEASE_S + 1e-9
         seen.add((duty.machine.active, lease.active))
     assert seen >= {(1, 1), (2, 1), (2, 2)}
 
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -38,7 +38,7 @@
 def test_at_most_half_of_a_pool_is_left_out_whatever_the_counts(ended):
     found = outcomes.failing(ended)
     assert len(found) <= len(ended) // 2 and set(found) <= set(ended)
-    assert all(ended[name].failed >= constants.FAILED_LEAST for name in found)
+    assert all(ended[name].failed >= constants.MIN_FAILED_REQUESTS for name in found)
 
 
 def test_counts_fade_so_that_a_replica_left_out_is_tried_again():
@@ -48,10 +48,10 @@
         counts.failed("a")
         counts.answered("b")
     assert outcomes.failing({n: counts.of(n) for n in "ab"}) == ["a"]
-    clock[0] += 2 * constants.OUTCOME_HALF
+    clock[0] += 2 * constants.OUTCOME_HALF_LIFE_S
     assert counts.of("a").failed == pytest.approx(2.0)
     assert outcomes.failing({n: counts.of(n) for n in "ab"}) == []
-    clock[0] += 2 * constants.FADED_HALVES * constants.OUTCOME_HALF
+    clock[0] += 2 * constants.MAX_HALF_LIVES * constants.OUTCOME_HALF_LIFE_S
     counts.answered("c")
     assert counts.of("a").failed < 1e-9 and set(counts.counts.sums) == {"c"}  # and what has faded away is forgotten
 
@@ -65,7 +65,7 @@
         one.pair(1, test_delivery_placing.DOCUMENT, "main", test_delivery_placing.ask()).writer.name for _ in range(4)
     }
     assert "d1" not in chosen  # though it has the least running
-    pool.time += constants.USAGE_LIFE + 0.1
+    pool.time += constants.LOAD_TTL_S + 0.1
     one.replicas.mine.clear()
     assert one.not_failing(["d1", "d2"]) == ["d1", "d2"]
 
