--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -68,7 +68,8 @@
         link_module.tune(conn)
         for sock in (held, conn):
             assert (
-                sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == transport_constants.PEER_SILENT * 1000
+                sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
+                == transport_constants.PEER_ACK_TIMEOUT_S * 1000
             )
             assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
 
@@ -81,7 +82,7 @@
     for mark in range(10):
         node.send(gone, mark)
     assert node.count("opened") == 1 and node.count("dropped") == 10
-    node.clock.seconds += transport_constants.PEER_RETRY + 0.01
+    node.clock.seconds += transport_constants.PEER_RETRY_DELAY_S + 0.01
     node.send(gone, 11)
     assert node.count("opened") == 2
 
@@ -96,7 +97,7 @@
             sock.connect_ex(full.getsockname())
         node.send(address, 1)
         assert address in node.loop.table.by_peer
-        node.clock.seconds += transport_constants.PEER_CONNECT + 0.1
+        node.clock.seconds += transport_constants.PEER_CONNECT_TIMEOUT_S + 0.1
         peer_nodes.until(lambda: node.links() == 0)
         for sock in waiting:
             sock.close()
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -83,7 +83,7 @@
 def test_routers_that_asked_without_a_leader_are_remembered_for_as_long_as_that_is_of_use():
     found = Case()
     for number in range(1000):
-        found.pool.time += constants.PERMIT_WAIT_MOST / 10
+        found.pool.time += constants.PERMIT_LEADER_NOTICE_TTL_S / 10
         found.ask(1, address=f"router:{number}")
     assert len(found.duty.redirected) <= 11
     found.duty.start()
--- a/tests/test_permit_walks.py
+++ b/tests/test_permit_walks.py
@@ -12,7 +12,7 @@
 STEPS = 60
 WALKS = 12
 MOST_WALKS = 300  # in which a missing protection has to show
-SMALL = {"SNAP_EVERY": 4, "KEEP_BEHIND": 1}
+SMALL = {"SNAPSHOT_INTERVAL_ENTRIES": 4, "MAX_RETAINED_LOG_ENTRIES": 1}
 
 
 @pytest.fixture(autouse=True)
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -226,6 +226,6 @@
 def test_a_body_over_the_limit_is_413_and_sent_nowhere(site):
     host, (replica,) = site.service("d", engine=False)
     status = platform_site.ask(
-        site.address, "POST", "/p/x", None, [("Host", host), ("Content-Length", constants.BODY_MOST + 1)]
+        site.address, "POST", "/p/x", None, [("Host", host), ("Content-Length", constants.MAX_BODY_BYTES + 1)]
     ).status
     assert status == 413 and replica.asked == []
--- a/tests/test_platform_operator.py
+++ b/tests/test_platform_operator.py
@@ -62,7 +62,7 @@
     assert platform_site.ask(door.address, "PUT", "/other", b"{}", rows).status == 404
     assert (
         platform_site.ask(
-            door.address, "PUT", "/configuration", None, rows + [("Content-Length", constants.BODY_MOST + 1)]
+            door.address, "PUT", "/configuration", None, rows + [("Content-Length", constants.MAX_BODY_BYTES + 1)]
         ).status
         == 413
     )
--- a/tests/test_platform_raw.py
+++ b/tests/test_platform_raw.py
@@ -103,7 +103,7 @@
 
 
 def test_a_body_that_stalls_until_its_time_is_over_is_sent_nowhere(site, monkeypatch):
-    monkeypatch.setattr(constants, "READ_TIME", 0.3)
+    monkeypatch.setattr(constants, "REQUEST_READ_TIMEOUT_S", 0.3)
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     said = say(
         site, b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Length: 9\r\n\r\nabc" % host.encode(), 1.5
@@ -148,5 +148,5 @@
 def test_a_head_with_a_carriage_return_or_a_zero_byte_within_a_line_is_refused(site, odd):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     rows = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: odd", odd, b"Content-Length: 0"]
-    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.READ_TIME + 1.0)  # it ends the connection
+    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0)  # it ends the connection
     assert said.startswith(b"HTTP/1.1 400 ") and replica.asked == []
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -23,7 +23,7 @@
 FOLDER = pathlib.Path(__file__).parent / "releases"
 RECORDED = {path.stem: json.loads(path.read_text()) for path in sorted(FOLDER.glob("records-*.json"))}
 APPEND_TEXT = RECORDED["records-1"]["append"]["fields"]
-NEXT_RELEASE = transport_constants.RECORDS_RELEASE + 1
+NEXT_RELEASE = transport_constants.RECORD_FORMAT_VERSION + 1
 LATER = [
     *(row for row in record_kinds.KINDS if row.name != "append"),
     record_kinds.kind(16, "append", APPEND_TEXT + f" sent_at:d@{NEXT_RELEASE}=0.0 note:j@{NEXT_RELEASE}=null"),
@@ -56,7 +56,7 @@
 def test_the_table_changed_only_as_the_rules_allow(release):
     former = table_of(RECORDED[release])
     number = int(release.split("-")[1])
-    for later in range(number + 1, transport_constants.RECORDS_RELEASE + 1):
+    for later in range(number + 1, transport_constants.RECORD_FORMAT_VERSION + 1):
         fields_then = [
             record_kinds.Kind(row.number, row.name, tuple(f for f in row.fields if f.since <= later), row.since)
             for row in record_kinds.KINDS
@@ -68,7 +68,7 @@
 
 
 def test_this_release_has_its_own_file():
-    assert RECORDED[f"records-{transport_constants.RECORDS_RELEASE}"] == {
+    assert RECORDED[f"records-{transport_constants.RECORD_FORMAT_VERSION}"] == {
         kind.name: release_fixture.kind_row(kind) for kind in record_kinds.KINDS
     }
 
@@ -136,7 +136,7 @@
             expected = known + peer_nodes.packed(2, 0)
             with conn.makefile("rb") as stream:
                 assert stream.read(len(expected)) == expected
-    node.clock.seconds += transport_constants.PEER_FORMER + 0.1
+    node.clock.seconds += transport_constants.PEER_FALLBACK_S + 0.1
     assert node.loop.table.release_of(address) is None  # upgraded meanwhile, it is told all again
 
 
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -30,8 +30,8 @@
 
 
 def test_past_the_bound_the_snapshot_is_handed_over(monkeypatch):
-    monkeypatch.setattr(constants, "SNAP_EVERY", 8)
-    monkeypatch.setattr(constants, "KEEP_BEHIND", 2)
+    monkeypatch.setattr(constants, "SNAPSHOT_INTERVAL_ENTRIES", 8)
+    monkeypatch.setattr(constants, "MAX_RETAINED_LOG_ENTRIES", 2)
     f = sim.SimFleet("many", routers=1, replicas=2)
     f.ready()
     name = follower(f)
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -97,7 +97,7 @@
 @pytest.mark.parametrize("coded", [False, True], ids=["length", "chunks"])
 def test_the_answer_to_a_body_that_is_too_long_is_not_lost_to_a_reset(site, coded):
     host, (replica,) = service(site)
-    size = constants.BODY_MOST + 2000000
+    size = constants.MAX_BODY_BYTES + 2000000
     with connect(site) as conn:
         if coded:
             conn.sendall(head(host, b"long", CODED) + b"%x\r\n" % size)
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -42,7 +42,7 @@
             pool.deliver(0)
     taken_up = of_kind(written, "version_in_force")
     assert len(taken_up) == 59
-    assert sum(row["report"] for row in taken_up) <= constants.VERSION_REPORT_MOST + 1
+    assert sum(row["report"] for row in taken_up) <= constants.MAX_VERSION_REPORT_BURST_LINES + 1
 
 
 def test_the_leader_names_who_had_not_staged_what_it_activates(written):
@@ -51,10 +51,10 @@
     pool.waiting = [row for row in pool.waiting if row[0] != "r:1"]
     while pool.waiting:
         pool.deliver(0)
-    pool.time += constants.LEASE_LONG + 2 * constants.LEASE_SLACK
+    pool.time += constants.LONG_LEASE_S + 2 * constants.LEASE_CLOCK_MARGIN_S
     duty.try_activate()
     (row,) = of_kind(written, "version_activated")
-    assert row["sequence"] == 2 and row["without"] == ["r:1"] and row["after_s"] >= constants.LEASE_LONG
+    assert row["sequence"] == 2 and row["without"] == ["r:1"] and row["after_s"] >= constants.LONG_LEASE_S
 
 
 def test_the_leader_tells_once_that_it_grants_no_older_lease(written):
@@ -74,12 +74,12 @@
     pool = all_orders.Pool()
     lease = lease_module.Lease(all_orders.HandDesk(pool, "r:1"), lambda: ["a:1"])
     lease.ask()
-    lease.on_grant("a:1", lease_state.grant(lease, constants.LEASE_LONG, 1, [[1, {"n": 1}]]))
-    pool.time += constants.LEASE_LONG + 1.0
+    lease.on_grant("a:1", lease_state.grant(lease, constants.LONG_LEASE_S, 1, [[1, {"n": 1}]]))
+    pool.time += constants.LONG_LEASE_S + 1.0
     lease.ask()
     lease.on_look_elsewhere("a:1", {"leader": "b:1"})
     lease.on_grant("b:1", lease_state.grant(lease, 0.0, 1))
     lease.ask()
-    lease.on_grant("b:1", lease_state.grant(lease, constants.LEASE_LONG, 1))
+    lease.on_grant("b:1", lease_state.grant(lease, constants.LONG_LEASE_S, 1))
     (row,) = of_kind(written, "lease_back")
     assert (row["sent"], row["redirected"], row["empty_grants"]) == (3, 1, 1)
--- a/tests/test_writer_capacity.py
+++ b/tests/test_writer_capacity.py
@@ -19,16 +19,16 @@
 
 def true_full(growth, slots=SLOTS):
     """Where an engine whose idle time between events grows by this share per request counts as full."""
-    most = (constants.SLOW_FULL - 1) / growth if growth else slots
-    return min(slots, max(constants.FULL_LEAST * slots, most))
+    most = (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / growth if growth else slots
+    return min(slots, max(constants.MIN_DECODE_FULL_SLOT_RATIO * slots, most))
 
 
 def observed(idle_s, growth, seconds, writers=6, noise=0.0, seed=1, load=(2, 30)):
     """The capacity after so many seconds of a service whose writers are loaded unevenly."""
     chance, clock = random.Random(seed), [100.0]
     capacity = writer_capacity.WriterCapacity(lambda: clock[0])
-    for _ in range(round(seconds / constants.USAGE_BEAT)):
-        clock[0] += constants.USAGE_BEAT
+    for _ in range(round(seconds / constants.LOAD_REPORT_INTERVAL_S)):
+        clock[0] += constants.LOAD_REPORT_INTERVAL_S
         running = [chance.uniform(*load) for _ in range(writers)]
         capacity.observe((r, idle_s * (1 + growth * r) * (1 + chance.uniform(-noise, noise))) for r in running)
     return capacity
@@ -36,9 +36,9 @@
 
 def test_without_an_observation_a_writer_is_full_at_the_usual_share_of_its_slots():
     capacity = writer_capacity.WriterCapacity(lambda: 0.0)
-    assert capacity.full_at(SLOTS) == pytest.approx(constants.RUN_FULL * SLOTS)
+    assert capacity.full_at(SLOTS) == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * SLOTS)
     capacity.observe([(3.0, 0.0)])  # no time between events is none
-    assert capacity.full_at(12) == pytest.approx(constants.RUN_FULL * 12)
+    assert capacity.full_at(12) == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * 12)
 
 
 @STEADY
@@ -55,7 +55,7 @@
 
 def test_a_single_load_tells_no_slope_so_the_usual_share_stays():
     capacity = observed(0.05, 0.0, 30.0, load=(10, 10))
-    assert capacity.full_at(SLOTS) == pytest.approx(constants.RUN_FULL * SLOTS, rel=0.01)
+    assert capacity.full_at(SLOTS) == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * SLOTS, rel=0.01)
 
 
 def test_an_engine_that_hardly_slows_down_is_full_with_all_its_slots_taken():
@@ -63,7 +63,7 @@
 
 
 def test_an_engine_that_slows_down_at_once_keeps_a_quarter_of_its_slots():
-    assert observed(0.047, 1.0, 10.0).full_at(SLOTS) == constants.FULL_LEAST * SLOTS
+    assert observed(0.047, 1.0, 10.0).full_at(SLOTS) == constants.MIN_DECODE_FULL_SLOT_RATIO * SLOTS
 
 
 def test_a_new_engine_is_found_after_the_former_one():
@@ -71,8 +71,8 @@
     clock = [capacity.now()]
     capacity.now = lambda: clock[0]
     chance = random.Random(2)
-    for _ in range(round(60 / constants.USAGE_BEAT)):
-        clock[0] += constants.USAGE_BEAT
+    for _ in range(round(60 / constants.LOAD_REPORT_INTERVAL_S)):
+        clock[0] += constants.LOAD_REPORT_INTERVAL_S
         capacity.observe((r, 0.05 * (1 + 0.03 * r)) for r in (chance.uniform(2, 30) for _ in range(6)))
     assert capacity.full_at(SLOTS) == pytest.approx(true_full(0.03), rel=0.25)
 
@@ -84,12 +84,12 @@
 def test_whatever_is_observed_the_bounds_hold(samples):
     capacity = writer_capacity.WriterCapacity(lambda: 0.0)
     capacity.observe(samples)
-    assert constants.FULL_LEAST * SLOTS <= capacity.full_at(SLOTS) <= SLOTS
+    assert constants.MIN_DECODE_FULL_SLOT_RATIO * SLOTS <= capacity.full_at(SLOTS) <= SLOTS
 
 
 def test_a_row_without_events_is_as_short_as_before_and_read_by_all():
     load = replica_load.ReplicaLoad(requests=2, answered=3.0, failed=1.0, reading=[0, 0, 5])
-    assert len(load.to_wire()) == 4 + constants.RANKS
+    assert len(load.to_wire()) == 4 + constants.PREFILL_RANK_COUNT
     more = replica_load.ReplicaLoad(requests=2, answered=3.0, failed=1.0, reading=[0, 0, 5], events=6, events_s=0.3)
     assert replica_load.ReplicaLoad.from_wire(more.to_wire()) == more
     assert replica_load.ReplicaLoad.from_wire(more.placing_wire()) == load
@@ -109,12 +109,12 @@
     pool, duty = duty_with({**flat, **steep}, {name: name[0] for name in {**flat, **steep}})
     for _ in range(60):
         duty.usage("a1", "decode", 12)
-        pool.time += constants.USAGE_BEAT + 0.01
+        pool.time += constants.LOAD_REPORT_INTERVAL_S + 0.01
         for sender, report in list(duty.reports.reports.items()):
             duty.reports.take(sender, report.loads)
     assert duty.usage("a1", "decode", 12)[2] == 12
     assert duty.usage("b1", "decode", 12)[2] < 6
-    assert duty.usage("a1", "prefill", 12)[2] == constants.READ_FULL
+    assert duty.usage("a1", "prefill", 12)[2] == constants.PREFILL_FULL_QUEUE_S
 
 
 def test_events_of_others_are_not_sent_to_routers():
@@ -127,4 +127,4 @@
 def test_too_few_events_tell_nothing():
     loads = {f"a{n}": replica_load.ReplicaLoad(requests=n, events=1, events_s=0.05) for n in range(1, 9)}
     _pool, duty = duty_with(loads, dict.fromkeys(loads, "a"))
-    assert duty.usage("a1", "decode", 12)[2] == pytest.approx(constants.RUN_FULL * 12)
+    assert duty.usage("a1", "decode", 12)[2] == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * 12)
--- a/tools/hollow/fleet.py
+++ b/tools/hollow/fleet.py
@@ -88,10 +88,13 @@
         """Sets what this router has running, as many requests as the size says."""
         router.replicas.mine = design.running(self.size, self.chance, self.readers, self.writers)
         for name in list(router.placing.reading):
-            router.placing.reading[name] = [0] * constants.RANKS
+            router.placing.reading[name] = [0] * constants.PREFILL_RANK_COUNT
         for name in self.readers:
             if name in router.replicas.mine:
-                router.placing.reading[name] = [4000 * router.replicas.mine[name], *[0] * (constants.RANKS - 1)]
+                router.placing.reading[name] = [
+                    4000 * router.replicas.mine[name],
+                    *[0] * (constants.PREFILL_RANK_COUNT - 1),
+                ]
         self.loop.at(DRAW_BEAT, None, lambda: self.draw(router))
 
     def routers(self):
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -72,8 +72,8 @@
     duty = usage_duty.UsageDuty(member)
     chance = design.seeded("usage", routers)
     names = [n for n, row in design.rows(size).items() if row["role"] == "decode"]
-    names = names[:: constants.PARTS - 1]  # one part's share of the replicas
-    few = design.Size(requests=size.requests / (constants.PARTS - 1))
+    names = names[:: constants.PART_COUNT - 1]  # one part's share of the replicas
+    few = design.Size(requests=size.requests / (constants.PART_COUNT - 1))
     bodies = {
         f"10.2.0.{at}:70": {
             "rows": {
@@ -107,11 +107,13 @@
     news = dict(part=0, number=1, active=1, docs=[[2, doc]])
     data = records.pack("news", **news)
     machine = config_machine.ConfigMachine()
-    for at in range(2 * constants.HISTORY):
+    for at in range(2 * constants.MAX_HISTORY_DOCUMENTS):
         machine.apply(0, {"op": "stage", "base": at, **row, "id": f"order {at}"})
         machine.apply(0, {"op": "activate", "sequence": at + 1})
     state = design.packed(machine.dump())
-    entries = constants.APPEND_MOST // 2 * design.packed([{"i": 1, "t": 1, "c": {"op": "stage", **row, "base": 1}}])
+    entries = (
+        constants.MAX_APPEND_ENTRIES // 2 * design.packed([{"i": 1, "t": 1, "c": {"op": "stage", **row, "base": 1}}])
+    )
     return {
         "document bytes": len(text),
         "news bytes": len(data),
@@ -120,7 +122,7 @@
         "unpack": spent(lambda: records.CODEC.unpack(data)),
         "snapshot bytes": state,
         "largest append bytes": entries,
-        "record most": transport_constants.RECORD_MOST,
+        "record most": transport_constants.MAX_RECORD_BYTES,
     }
 
 
--- a/tools/hollow/real.py
+++ b/tools/hollow/real.py
@@ -47,7 +47,7 @@
     server = router.front()
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
-    ready = front.Server(f"127.0.0.1:{free_port()}", lambda environ, start: [], constants.READY_THREADS)
+    ready = front.Server(f"127.0.0.1:{free_port()}", lambda environ, start: [], constants.READINESS_SERVER_THREADS)
     ready.prepare()
     time.sleep(0.5)
     served = condition_of()
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -78,29 +78,29 @@
     "home of shared parts by hash": Mechanism(
         (Line(PLACING, " if shared and names else None\n", " if False else None\n"),)
     ),
-    "parts known to be kept": constants(KNOWN_PARTS="0"),
-    "cost of reading shared parts again": constants(AGAIN_COST="0.0"),
-    "load of other routers": constants(USAGE_LIFE="0.0"),
-    "failing replicas left out": constants(FAILED_LEAST="1e9"),
-    "replica left out after a failed send": constants(OUT_SPAN="0.0"),
-    "admission by the readers' queue": constants(ADMIT_SHARE="1e9"),
-    "waiting for a place": constants(PLACE_SHARE="0.0", PLACE_LEAST="0.0"),
-    "short readings first": constants(READ_SHORT="1e9"),
-    "short prompts read by their writer": constants(PROMPT_SHORT="0"),
-    "replicas of the own zone": constants(FAR_COST="0.0"),
-    "extra sends (retry budget)": constants(BUDGET_SHARE="0.0", SLACK_SHARE="0.0"),
+    "parts known to be kept": constants(MAX_KNOWN_PROMPT_PARTS="0"),
+    "cost of reading shared parts again": constants(REPEATED_PREFILL_RATIO="0.0"),
+    "load of other routers": constants(LOAD_TTL_S="0.0"),
+    "failing replicas left out": constants(MIN_FAILED_REQUESTS="1e9"),
+    "replica left out after a failed send": constants(MIN_EXCLUSION_S="0.0"),
+    "admission by the readers' queue": constants(ADMISSION_QUEUE_RATIO="1e9"),
+    "waiting for a place": constants(PLACEMENT_WAIT_RATIO="0.0", MIN_PLACEMENT_WAIT_S="0.0"),
+    "short readings first": constants(SHORT_PREFILL_S="1e9"),
+    "short prompts read by their writer": constants(SHORT_PROMPT_TOKENS="0"),
+    "replicas of the own zone": constants(CROSS_ZONE_COST_S="0.0"),
+    "extra sends (retry budget)": constants(RETRY_BUDGET_RATIO="0.0", RETRY_SLACK_RATIO="0.0"),
     "writer reads where a handle is lost": Mechanism(
         (Line(SENDS, "        if not (self.handle and e.bounced and e.verdict is NOT_RUN):\n", "        if True:\n"),)
     ),
-    "resumable stream taken up after silence": constants(SILENT_FIRST="1e9", SILENT_NEXT="1e9"),
-    "split follows the load": constants(SHIFT_PRESS="1e9"),
-    "several replicas change their part at once": constants(CHANGE_SHARE="0.0"),
+    "resumable stream taken up after silence": constants(FIRST_EVENT_TIMEOUT_S="1e9", NEXT_EVENT_TIMEOUT_S="1e9"),
+    "split follows the load": constants(SHIFT_LOAD_RATIO="1e9"),
+    "several replicas change their part at once": constants(MAX_ROLE_CHANGE_RATIO="0.0"),
     "what a writer carries, learnt": Mechanism(
-        (Line(LOAD_SUMS, "self.capacity(name).full_at(slots)", "constants.RUN_FULL * slots"),)
+        (Line(LOAD_SUMS, "self.capacity(name).full_at(slots)", "constants.DECODE_FULL_SLOT_RATIO * slots"),)
     ),
     "older leases by a new leader": Mechanism(
         (Line(CONFIGURATION, "return -math.inf if moment is None else float(moment)", "return -math.inf"),)
     ),
-    "notice before an order": constants(ORDER_NOTICE="0.0", CHANGE_OUT="0.0"),
-    "kept connections": constants(KEPT_MOST="0"),
+    "notice before an order": constants(ORDER_NOTICE_S="0.0", ROLE_CHANGE_EXCLUSION_S="0.0"),
+    "kept connections": constants(MAX_IDLE_REPLICA_CONNECTIONS="0"),
 }
--- a/tools/release_fixture.py
+++ b/tools/release_fixture.py
@@ -1,6 +1,6 @@
 """Writes down the records of this release, for the tests of later ones: `python -m tools.release_fixture`.
 
-Run it once, when RECORDS_RELEASE was raised and its table is complete; a file of a release
+Run it once, when RECORD_FORMAT_VERSION was raised and its table is complete; a file of a release
 that others run is never written again.
 """
 
--- a/tools/replica_memory.py
+++ b/tools/replica_memory.py
@@ -105,13 +105,13 @@
                 self.cache.move_to_end(key)
             while len(self.cache) > CACHE_KEYS:
                 self.cache.popitem(last=False)
-        return max(0, len(prompt) - hits * replica_adapter.constants.CACHE_BLOCK)
+        return max(0, len(prompt) - hits * replica_adapter.constants.CACHE_BLOCK_CHARS)
 
     def export(self, request, prompt):
         with self.lock:
             blocks = [
                 self.desk.random.getrandbits(20)
-                for _ in range(1 + len(prompt) // replica_adapter.constants.CACHE_BLOCK)
+                for _ in range(1 + len(prompt) // replica_adapter.constants.CACHE_BLOCK_CHARS)
             ]
             self.held[request] = {"blocks": blocks, "digest": digest_of(prompt), "born": self.desk.now()}
         self.note("export", request)
--- a/tools/simulator/days_of_releases.py
+++ b/tools/simulator/days_of_releases.py
@@ -9,7 +9,7 @@
 import mothshed.transport.records as records
 import tools.simulator.day_base as base
 
-LATER = transport_constants.RECORDS_RELEASE + 1
+LATER = transport_constants.RECORD_FORMAT_VERSION + 1
 EXTENDED = ("append", "append_say", "vote_ask", "grant", "ask", "news")
 STEP = 2.4  # s from one restart to the next
 BACK = 0.8  # s that a restarted process is away
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -176,8 +176,8 @@
         url,
         body=None,
         headers=None,
-        connect=constants.CONNECT_TIME,
-        read=constants.STREAM_QUIET,
+        connect=constants.CONNECT_TIMEOUT_S,
+        read=constants.STREAM_IDLE_TIMEOUT_S,
         ready=lambda: True,
         cancellation=None,  # callers of a simulated router are not watched
     ):
@@ -242,6 +242,6 @@
             if hasattr(rows, "close"):
                 rows.close()
 
-    def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIME):
+    def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIMEOUT_S):
         response = self.send(method, url, body, headers, read=read)
         return response.status, response.body()
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -58,7 +58,7 @@
         "new after ack",
     ),
     "leases are short during a change": (
-        weakened.put(constants, LEASE_SHORT=constants.LEASE_LONG),
+        weakened.put(constants, SHORT_LEASE_S=constants.LONG_LEASE_S),
         "cut_after_staging",
         "no fall back",
     ),
@@ -97,7 +97,11 @@
         "order_owner_killed",
         "orders fenced",
     ),
-    "a new holder waits its turn": (weakened.put(constants, TURN_GAP=0.1), "order_owner_killed", "orders fenced"),
+    "a new holder waits its turn": (
+        weakened.put(constants, FIRST_ORDER_DELAY_S=0.1),
+        "order_owner_killed",
+        "orders fenced",
+    ),
     "a leaving replica is left alone": (
         weakened.put(replicas.Replicas, take_list=weakened.deaf_to_leaving),
         "leaving",
@@ -137,7 +141,7 @@
         "no crash inside",
     ),
     "a neighbour's newer reading outlasts an older own one": (
-        weakened.put(constants, LEAVE_KEEP=0.0),
+        weakened.put(constants, LEAVING_MARK_TTL_S=0.0),
         "lists_lag_apart",
         "leaving",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -123,7 +123,7 @@
     stack = contextlib.ExitStack()
     stack.enter_context(put(admission.Admission, head=first_come)())
     stack.enter_context(put(admission.Ticket, __init__=ticket)())
-    stack.enter_context(put(constants, QUEUE_TENANT=constants.QUEUE_MOST)())
+    stack.enter_context(put(constants, MAX_TENANT_QUEUED_REQUESTS=constants.MAX_QUEUED_REQUESTS)())
     return stack
 
 
