--- a/mothshed/constants.py
+++ b/mothshed/constants.py
@@ -59,7 +59,7 @@
 ORDER_DIGEST_BYTES = 16  # bytes of an order's digest: no two of one record's orders are ever alike.
 KEY_DIGEST_BYTES = 16  # bytes of a key's digest: nobody finds another key with the same one.
 GENERATED_KEY_BYTES = 32  # random bytes of a key that is made here: as many as of a session's secret, beyond guessing.
-MAX_SEQUENCE_NUMBER = 9007199254740991  # highest sequence: 2**53 - 1, which every JSON reader holds exactly.
+MAX_SEQUENCE_NUMBER = 9007199254740991  # number; 2**53 - 1, which every JSON reader represents exactly
 
 # --- limits of tenants ---------------------------------------------------
 MIN_PERMIT_RETRY_S = 0.06  # s; an ask for permits that nobody answered is made anew: some round trips between zones.
@@ -101,7 +101,7 @@
 LIST_MAX_AGE_S = 1.9  # s; a reading older than this is not waited for: the list is read by oneself.
 LIST_SUBSCRIPTION_TTL_S = 4.0  # s; news goes to those that asked no longer ago.
 MAX_LIST_CHANGES = 64  # changes of the list kept; who is further behind gets it whole.
-LIST_READER_PART = 1  # part whose leader reads the list for all.
+LIST_READER_PART = 1  # part number; its leader reads the list for all
 LIST_READ_TIMEOUT_S = 1.0  # s; longest wait for the list.
 LIST_ATTEMPT_MAX_AGE_S = 2.0  # s; nothing is placed if the list was not asked for this long: beat, wait and slack.
 LEAVING_MARK_TTL_S = 5.0  # s; a neighbour's reading that shows a replica leaving outlasts an own one this much.
@@ -172,7 +172,7 @@
 MAX_CONNECTION_REQUESTS = 64  # requests remembered per kept connection; one is sent again within seconds or never.
 DELIVERY_CONNECT_TIMEOUT_S = 0.3  # s; connecting to a replica; past it another one is tried.
 DELIVERY_ACK_TIMEOUT_S = 2.0  # s; a connection unacknowledged for this long is dead.
-DEFAULT_URGENCY_RANK = 5  # rank, 0 first; of a request whose route and tenant name none.
+DEFAULT_URGENCY_RANK = 5  # rank, 0 is most urgent; if neither route nor tenant names one
 URGENCY_LEVEL_COUNT = 3  # levels at replicas, each of PREFILL_RANK_COUNT values: the field has ten values
 PLACEMENT_WAIT_RATIO = 0.2  # share of the aim that a request waits for a place: below the quarter that counts as held.
 MIN_PLACEMENT_WAIT_S = 0.1  # s; shortest such wait, for routes with a short or no aim.
--- a/mothshed/transport/constants.py
+++ b/mothshed/transport/constants.py
@@ -14,7 +14,7 @@
 
 # --- records and connections ---------------------------------------------
 MAX_RECORD_BYTES = 8388608  # bytes; a longer peer record closes the connection.
-RECORD_FORMAT_VERSION = 2  # number of the records' table; raised with each field or kind that is added to it.
+RECORD_FORMAT_VERSION = 2  # number; raised with each field or kind added to the record table
 PEER_FALLBACK_S = 10.0  # s; a peer that closed at our hello is spoken to as the release before the rule for that long.
 MAX_PEER_QUEUE_RECORDS = 512  # records waiting for one peer; more are dropped, peers ask again.
 PEER_CONNECT_TIMEOUT_S = 0.5  # s; connecting to a peer.
