--- a/mothshed/control_plane/list_duty.py
+++ b/mothshed/control_plane/list_duty.py
@@ -18,7 +18,7 @@
         self.member, self.environment, self.listed = member, member.environment, listed
         self.on = False
         self.rows, self.number, self.at = {}, 0, -1e9
-        self.changes = collections.deque(maxlen=constants.LIST_CHANGES)  # (number, rows, gone)
+        self.changes = collections.deque(maxlen=constants.MAX_LIST_CHANGES)  # (number, rows, gone)
         self.holders = {}  # address -> [number it has, when it asked]
         member.leader_tasks.append(self)
         self.environment.subscribe("list_ask", self.on_ask, member.part)
@@ -42,7 +42,7 @@
                 self.environment.post(lambda rows=rows, at=began: self.took(rows, at))
             except web.WebFault as e:
                 self.listed.journal.add("list", outcome="failed", reason=str(e))
-            self.environment.sleep(constants.LIST_BEAT)
+            self.environment.sleep(constants.LIST_POLL_INTERVAL_S)
 
     def took(self, rows, at):
         if not self.on:
@@ -53,7 +53,7 @@
         if new or gone:
             self.number += 1
             self.changes.append((self.number, new, gone))
-            old = self.environment.now() - constants.LIST_HOLD
+            old = self.environment.now() - constants.LIST_SUBSCRIPTION_TTL_S
             self.holders = {a: h for a, h in self.holders.items() if h[1] > old}
             for address in self.holders:
                 self.send(address)
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -21,8 +21,8 @@
     losses: voters lost at once. catch_up: seconds that a loss counts on after its machine is back or replaced.
     """
 
-    losses: int = constants.LOSSES
-    catch_up: float = constants.CATCH_UP
+    losses: int = constants.DEFAULT_TOLERATED_FAILURES
+    catch_up: float = constants.DEFAULT_CATCH_UP_S
 
     @property
     def smallest(self) -> int:
@@ -32,7 +32,7 @@
     @property
     def gone_after(self) -> float:
         """Seconds of silence after which a voter may be replaced."""
-        return constants.GONE_SHARE * self.catch_up
+        return constants.SILENT_VOTER_RATIO * self.catch_up
 
 
 class Reconfiguration:
@@ -49,7 +49,7 @@
         if self.leaving:
             self.keep_leaving()
             return
-        if now - self.asked_at < constants.JOIN_BEAT or self.is_leader:
+        if now - self.asked_at < constants.JOIN_REQUEST_INTERVAL_S or self.is_leader:
             return
         self.asked_at = now
         if self.chart.state == "empty" and self.address in self.initial_addresses:
@@ -57,7 +57,7 @@
                 self.environment.send(
                     address, "born_ask", part=self.part, who=self.member_id, address=self.address, http=self.http
                 )
-        if self.chart.state in ("empty", "learner") or now - self.last_contact > 2 * constants.ELECT_LOW:
+        if self.chart.state in ("empty", "learner") or now - self.last_contact > 2 * constants.ELECTION_TIMEOUT_MIN_S:
             goals = (
                 {m["address"] for m in self.members.values()}
                 | set(self.initial_addresses)
@@ -90,7 +90,7 @@
             return
         now = self.environment.now()
         self.empty_members[body["address"]] = (now, body["who"], body["http"])
-        fresh = {a: e for a, e in self.empty_members.items() if now - e[0] < 2 * constants.JOIN_BEAT}
+        fresh = {a: e for a, e in self.empty_members.items() if now - e[0] < 2 * constants.JOIN_REQUEST_INTERVAL_S}
         if set(self.initial_addresses) <= set(fresh) and len(self.initial_addresses) >= 1:
             self.bootstrap({fresh[a][1]: {"address": a, "http": fresh[a][2]} for a in sorted(self.initial_addresses)})
 
@@ -137,7 +137,7 @@
             silence={member: self.silence(member, now) for member in self.other_members()},
             leaving=frozenset(self.departing),
             smallest=self.bounds.smallest,
-            present_within=constants.LEADER_QUIET,
+            present_within=constants.QUORUM_TIMEOUT_S,
             gone_after=self.bounds.gone_after,
         )
 
@@ -145,16 +145,18 @@
         """Drops learners that neither ask nor answer any more, and old words of leaving."""
         for member_id, place in list(self.learners.items()):
             settled = self.membership.voters.get(member_id, {}).get("address") == place["address"]
-            if settled or min(now - place["at"], self.silence(member_id, now)) > 4 * constants.JOIN_BEAT:
+            if settled or min(now - place["at"], self.silence(member_id, now)) > 4 * constants.JOIN_REQUEST_INTERVAL_S:
                 del self.learners[member_id]
-        self.departing = {member_id: at for member_id, at in self.departing.items() if now - at < constants.LEAVE_LIFE}
+        self.departing = {
+            member_id: at for member_id, at in self.departing.items() if now - at < constants.LEAVE_REQUEST_TTL_S
+        }
 
     def ready_learners(self, now):
         """Places of the learners that answer and hold all that is committed."""
         found = {}
         for member_id, place in self.learners.items():
             progress = self.progress.get(member_id)
-            answers = progress and progress.answered and self.silence(member_id, now) < constants.LEADER_QUIET
+            answers = progress and progress.answered and self.silence(member_id, now) < constants.QUORUM_TIMEOUT_S
             if answers and progress.match >= self.commit:
                 found[member_id] = {"address": place["address"], "http": place["http"]}
         return found
@@ -188,7 +190,7 @@
 
     def knows_newcomers(self) -> bool:
         """Whether this leader has led for long enough to have heard of every member that asks to join."""
-        return self.ready and self.environment.now() - self.elected_at >= constants.JOIN_KNOWN
+        return self.ready and self.environment.now() - self.elected_at >= constants.JOIN_COLLECTION_S
 
     def can_spare(self, member_id):
         """Whether a change that lets this voter go is to be expected."""
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -38,8 +38,8 @@
         return self.progress[member]
 
     def replicate(self):
-        """Sends what is missing to every member, at most once in a ROUND_GAP."""
-        gap = self.replicated_at + constants.ROUND_GAP - self.environment.now()
+        """Sends what is missing to every member, at most once in a MIN_ROUND_INTERVAL_S."""
+        gap = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
         if gap <= 0:
             self.replicate_now()
         elif not self.replicate_timer:
@@ -52,7 +52,7 @@
         self.replicated_at = self.environment.now()
         self.round += 1
         self.sent_at[self.round] = self.replicated_at
-        self.sent_at.pop(self.round - constants.ROUNDS_KEPT, None)
+        self.sent_at.pop(self.round - constants.MAX_REMEMBERED_ROUNDS, None)
         for member in self.targets():
             self.send_append(member)
         self.count_rounds()
@@ -83,8 +83,8 @@
         """The entries to send now and their size; none while a snapshot is on its way."""
         if progress.transfer is not None:
             return [], 0
-        room, entries, size = min(progress.room(), constants.APPEND_BYTES), [], 0
-        for index in range(progress.next, min(self.log.last, progress.next + constants.APPEND_MOST - 1) + 1):
+        room, entries, size = min(progress.room(), constants.MAX_APPEND_BYTES), [], 0
+        for index in range(progress.next, min(self.log.last, progress.next + constants.MAX_APPEND_ENTRIES - 1) + 1):
             more = self.log.entry_bytes(index)
             if size + more > room and (entries or progress.flights):
                 break
@@ -163,7 +163,7 @@
         self.confirmed_round = max(self.confirmed_round, confirmed)
         if confirmed in self.sent_at:
             self.quorum_until = max(
-                self.quorum_until, self.sent_at[confirmed] + constants.VOTE_HOLD - constants.LEASE_SLACK
+                self.quorum_until, self.sent_at[confirmed] + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
             )
         due = [c for c in self.pending_reads if c[0] <= confirmed]
         self.pending_reads = [c for c in self.pending_reads if c[0] > confirmed]
@@ -192,7 +192,7 @@
         return now - (progress.answered_at if progress else self.elected_at)
 
     def keep_leading(self, now):
-        present = [m for m in self.other_members() if self.silence(m, now) < constants.LEADER_QUIET]
+        present = [m for m in self.other_members() if self.silence(m, now) < constants.QUORUM_TIMEOUT_S]
         if not self.membership.has_quorum([*present, self.member_id]):
             self.step_down(True)
             return
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -16,7 +16,7 @@
     def __init__(self, environment, replicas, placing):
         self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
         self.busy_at, self.mark = -1e9, 0
-        for part in range(1, constants.PARTS):
+        for part in range(1, constants.PART_COUNT):
             environment.subscribe("usages", self.on_usages, part)
         environment.post(self.tick)
 
@@ -49,8 +49,10 @@
             self.environment.send(
                 self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
             )
-        busy = now - self.busy_at < constants.USAGE_IDLE
-        self.environment.call_later(constants.USAGE_BEAT if busy else constants.USAGE_IDLE, self.tick)
+        busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
+        self.environment.call_later(
+            constants.LOAD_REPORT_INTERVAL_S if busy else constants.IDLE_LOAD_REPORT_INTERVAL_S, self.tick
+        )
 
     def on_usages(self, sender, body):
         self.leaders.heard(body["part"], sender)
--- a/mothshed/runtime/log_buffer.py
+++ b/mothshed/runtime/log_buffer.py
@@ -22,7 +22,7 @@
 
 import mothshed.constants as constants
 
-MESSAGES = collections.deque(maxlen=constants.RING_MOST)
+MESSAGES = collections.deque(maxlen=constants.MAX_LOG_BUFFER_MESSAGES)
 JOURNALS = []
 STATE = {"path": None, "last": -1e9, "name": "", "on": False}
 LOCK = threading.Lock()
@@ -50,7 +50,7 @@
         return True
 
 
-REPORT_LIMITER = RateLimiter(constants.REPORT_MOST, constants.REPORT_RATE)
+REPORT_LIMITER = RateLimiter(constants.MAX_REPORT_BURST_LINES, constants.REPORT_LINES_PER_S)
 
 
 def handle_message(message: dict[str, typing.Any]) -> None:
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -61,7 +61,7 @@
         self.leader_tasks, self.quorum_until = [], 0.0
 
     def renew(self):
-        self.quorum_until = self.environment.now() + constants.VOTE_HOLD - constants.LEASE_SLACK
+        self.quorum_until = self.environment.now() + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
 
     def has_quorum(self):
         return self.environment.now() < self.quorum_until
