--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -24,9 +24,7 @@
 @pytest.fixture
 def ring_file(tmp_path, monkeypatch):
     """The file that the log buffer is written to; what stood in memory before is forgotten."""
-    monkeypatch.setattr(
-        log_buffer, "STATE", dict(log_buffer.STATE, path=str(tmp_path / "ring"), last=-1e9, name="test")
-    )
+    monkeypatch.setattr(log_buffer, "STATE", dict(log_buffer.STATE, path=f"{tmp_path}/ring", last=-1e9, name="test"))
     monkeypatch.setattr(log_buffer, "JOURNALS", [])
     eliot.add_destinations(log_buffer.handle_message)
     log_buffer.MESSAGES.clear()
