--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -127,7 +127,7 @@
             return
         holder = self.holders.setdefault(sender, leaseholder.Leaseholder())
         holder.note_ask(body, self.environment.now())
-        self.member.confirm(lambda good: good and self.grant(sender, body))
+        self.member.confirm_leadership(lambda good: good and self.grant(sender, body))
 
     def length(self):
         machine, now = self.machine, self.environment.now()
--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -66,7 +66,7 @@
         """What give() returns once a majority has confirmed this leader; raises NotConfirmed."""
 
         def begin(call: PendingCall) -> None:
-            self.member.confirm(lambda good: call.end(give() if good else NotConfirmed()))
+            self.member.confirm_leadership(lambda good: call.end(give() if good else NotConfirmed()))
 
         try:
             return self.run(begin)
@@ -99,7 +99,7 @@
         machine = self.member.machine
         known = machine.known_result(command) if command["base"] <= machine.latest else None
         if known:  # it would change nothing: no entry is needed, only a majority's word that this is the newest
-            self.member.confirm(lambda good: call.end(known if good else NotConfirmed()))
+            self.member.confirm_leadership(lambda good: call.end(known if good else NotConfirmed()))
         elif command["id"] in self.proposed:  # sent again while the first is under way: one entry is enough
             self.proposed[command["id"]].append(call)
         else:
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -32,19 +32,19 @@
     def tick(self):
         if self.chart.state == "stopped":
             return
-        self.guard(self.work)()
+        self.handle_disk_faults(self.run_periodic_tasks)()
         self.environment.call_later(constants.HEARTBEAT_INTERVAL_S, self.tick)
 
-    def work(self):
+    def run_periodic_tasks(self):
         now = self.environment.now()
         if self.is_leader:
-            self.keep_leading(now)
+            self.maintain_leadership(now)
         elif self.chart.state in ("follower", "candidate") and not self.leaving:
             due = max(self.last_contact, self.last_vote_at) + self.election_timeout - now
             if due <= 0:
                 self.start_election(pre_vote=True)
             elif due < constants.HEARTBEAT_INTERVAL_S:
-                self.environment.call_later(due, self.guard(self.start_election_if_due))
+                self.environment.call_later(due, self.handle_disk_faults(self.start_election_if_due))
         self.keep_joining(now)
 
     def start_election_if_due(self):
@@ -142,9 +142,9 @@
         self.elected_at = self.environment.now()
         self.reset_replication()
         self.ready = False
-        self.propose({"op": "begin", "who": self.member_id}, self.begun)
+        self.propose({"op": "begin", "who": self.member_id}, self.begin_committed)
 
-    def begun(self, result):
+    def begin_committed(self, result):
         """Own first entry committed: all earlier ones are known, duties may start."""
         if result is not None and self.is_leader:
             self.ready = True
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -42,8 +42,8 @@
             self.environment.now(),
         )
         good, match = self.take_entries(body["prev"], body["prev_term"], body["entries"])
-        if good and min(body["commit"], match) > self.commit:
-            self.commit = min(body["commit"], match)
+        if good and min(body["commit"], match) > self.commit_index:
+            self.commit_index = min(body["commit"], match)
             self.apply_all()
         self.send(body["who"], "append_say", term=self.log.term, good=good, match=match, round=body["round"])
 
@@ -57,11 +57,11 @@
         elif self.log.term_at(previous) is None:
             return False, self.log.last
         elif self.log.term_at(previous) != previous_term:
-            return False, self.commit
+            return False, self.commit_index
         new = [e for e in entries if self.log.term_at(e["i"]) != e["t"]]
         if new:
             self.log.put([e for e in entries if e["i"] >= new[0]["i"]])
-            self.read_members()
+            self.refresh_membership()
         return True, previous + len(entries)
 
     def on_snap(self, sender: str, body: dict[str, typing.Any]) -> None:
@@ -69,11 +69,11 @@
         if body["term"] < self.log.term:
             return
         self.follow(body, sender)
-        if body["index"] > self.commit:
+        if body["index"] > self.commit_index:
             snapshot = self.collector.take(body)
             if snapshot is not None:
                 self.install(snapshot)
-        done = body["index"] <= self.commit
+        done = body["index"] <= self.commit_index
         self.send(
             body["who"],
             "snap_say",
@@ -87,5 +87,5 @@
         """Takes a whole snapshot in the place of the log up to its index."""
         self.log.put_snapshot(snapshot, snapshot["index"])
         self.machine.restore(snapshot["state"])
-        self.commit = self.applied = snapshot["index"]
-        self.read_members()
+        self.commit_index = self.last_applied = snapshot["index"]
+        self.refresh_membership()
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -71,7 +71,7 @@
     def open_part(self, part: int) -> tuple[member_module.Member, Duty]:
         """This keeper's member of a part as its disk holds it, and what the member does when it leads."""
         settings = self.settings
-        bounds = reconfiguration.Bounds(
+        failure_tolerance = reconfiguration.FailureTolerance(
             settings.get("losses", constants.DEFAULT_TOLERATED_FAILURES),
             settings.get("catch_up_s", constants.DEFAULT_CATCH_UP_S),
         )
@@ -84,9 +84,9 @@
             settings["first_keepers"],
             service_part.ServiceMachine() if part else config_machine.ConfigMachine(),
             self.gossip.keepers,
-            bounds,
+            failure_tolerance,
         )
-        member.failed = self.disk_failed
+        member.disk_fault_callback = self.disk_failed
         if not part:
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
@@ -105,7 +105,7 @@
 
     def wait_for_disk(self):
         """Tries the disk until it takes writes and every part that it failed is open again."""
-        while any(member.disk_lost for member in self.members):
+        while any(member.stopped_by_disk_fault for member in self.members):
             self.environment.sleep(constants.DISK_RETRY_INTERVAL_S)
             try:
                 self.disk.put("probe", b".")
@@ -116,18 +116,20 @@
             except disk_module.DiskFault as fault:
                 log_buffer.note("disk_refuses", reason=str(fault))
         self.waiting = False
-        if any(member.disk_lost for member in self.members):  # one failed while this thread was about to end
+        if any(
+            member.stopped_by_disk_fault for member in self.members
+        ):  # one failed while this thread was about to end
             self.disk_failed()
 
     def reopen_parts(self) -> None:
         """Opens the parts that the disk failed, as a start of the process would; raises DiskFault."""
         for part, former in enumerate(self.members):
-            if former.disk_lost:
+            if former.stopped_by_disk_fault:
                 member, duty = self.open_part(part)
                 former.environment.stop()
                 self.members[part], self.leader_tasks[part] = member, duty
                 log_buffer.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
-                member.begin()
+                member.start()
 
     def lease_goals(self):
         return [self.environment.address] + self.gossip.keepers()
@@ -135,7 +137,7 @@
     def run(self):
         self.replicas.run()
         for member in self.members:
-            member.begin()
+            member.start()
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     def front(self, make=keeper_front.KeeperFront):
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -34,21 +34,21 @@
         initial_addresses,
         machine,
         known_addresses=lambda: [],
-        bounds=None,
+        failure_tolerance=None,
     ):
         self.environment, self.part, self.member_id, self.http = environment, part, member_id, http
         self.address = environment.address
         self.initial_addresses = list(initial_addresses)
         self.known_addresses = known_addresses  # addresses of keepers from hints
         self.machine = machine  # apply(index, command), dump(), restore(state)
-        self.bounds = bounds or reconfiguration.Bounds()
-        self.failed = lambda: None  # told once the disk has failed
-        self.disk_lost = False  # whether this member stopped for that
+        self.failure_tolerance = failure_tolerance or reconfiguration.FailureTolerance()
+        self.disk_fault_callback = lambda: None  # told once the disk has failed
+        self.stopped_by_disk_fault = False  # whether this member stopped for that
         self.leader_tasks = []  # start() when leader, stop() when not
         self.log = disk_log.PartLog(disk, part)
         self.chart = charts.load("member")
         self.leader = ""
-        self.commit = self.applied = 0
+        self.commit_index = self.last_applied = 0
         self.last_addresses = {}  # id -> address heard of lately
         self.pending_proposals = {}  # index -> (term, call)
         self.last_contact = environment.now()  # also after a start: an old promise may still hold
@@ -56,18 +56,18 @@
         self.membership = membership.Membership()
         if self.log.snapshot:
             machine.restore(self.log.snapshot["state"])
-            self.commit = self.applied = self.log.snapshot["index"]
+            self.commit_index = self.last_applied = self.log.snapshot["index"]
         self.init_election()
         self.reset_replication()
         self.init_following()
         self.init_reconfiguration()
-        self.read_members()
+        self.refresh_membership()
         if self.members:
             self.chart.step("birth")
             if self.member_id not in self.members:
                 self.chart.step("learn")
 
-    def begin(self):
+    def start(self):
         for kind in (
             "vote_ask",
             "vote_say",
@@ -82,10 +82,10 @@
             "leave",
             "leave_say",
         ):
-            self.environment.subscribe(kind, self.guard(getattr(self, "on_" + kind)), self.part)
+            self.environment.subscribe(kind, self.handle_disk_faults(getattr(self, "on_" + kind)), self.part)
         self.environment.post(self.tick)
 
-    def guard(self, call):
+    def handle_disk_faults(self, call):
         def run(*args):
             if self.chart.state == "stopped":
                 return
@@ -100,8 +100,8 @@
         """What is on the disk is not known any more: this member takes no further part."""
         log_buffer.failure("disk_fault", e, part=self.part)
         self.stop()
-        self.disk_lost = True
-        self.failed()
+        self.stopped_by_disk_fault = True
+        self.disk_fault_callback()
 
     @property
     def is_leader(self):
@@ -112,10 +112,10 @@
         """Everyone whose vote counts now, id -> {"address", "http"}."""
         return self.membership.everyone
 
-    def read_members(self):
+    def refresh_membership(self):
         """The latest membership in the log counts, committed or not."""
         former = self.membership
-        self.membership, self.members_at = self.membership_at(self.log.last)
+        self.membership, self.membership_index = self.membership_at(self.log.last)
         if self.membership != former:
             self.report_voters()
         if self.is_leader:
@@ -167,16 +167,16 @@
             self.fail_disk(e)
             return
         if command.get("op") == "members":
-            self.read_members()
-        self.count_commit()
+            self.refresh_membership()
+        self.advance_commit_index()
         self.replicate()
 
     def apply_all(self):
-        while self.applied < self.commit:
-            index = self.applied = self.applied + 1  # applying may commit, and so apply, the next one
+        while self.last_applied < self.commit_index:
+            index = self.last_applied = self.last_applied + 1  # applying may commit, and so apply, the next one
             body = self.log.get(index)
-            if not self.understands(body["c"]):
-                self.stop_for_newer_release(index, body["c"])
+            if not self.can_apply(body["c"]):
+                self.stop_at_unknown_command(index, body["c"])
                 return
             term, call = self.pending_proposals.pop(index, (None, None))
             result = self.machine.apply(index, body["c"])
@@ -185,31 +185,31 @@
         if self.snapshot_due():
             self.take_snapshot()
 
-    def understands(self, command: dict[str, typing.Any]) -> bool:
+    def can_apply(self, command: dict[str, typing.Any]) -> bool:
         """Whether this release can apply a command."""
         return command["op"] in GROUP_COMMANDS or command["op"] in self.machine.commands
 
-    def stop_for_newer_release(self, index: int, command: dict[str, typing.Any]) -> None:
+    def stop_at_unknown_command(self, index: int, command: dict[str, typing.Any]) -> None:
         """A later release committed a command that this one cannot apply: going on, its state would differ."""
         log_buffer.report("command_not_understood", part=self.part, index=index, op=command["op"])
-        self.applied = index - 1
+        self.last_applied = index - 1
         self.stop()
 
     def snapshot_due(self):
         """Whether enough entries, or bytes of them, stand after the newest snapshot."""
-        since = self.applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
+        since = self.last_applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
         return since >= constants.SNAPSHOT_INTERVAL_ENTRIES or (
             since > 0 and self.log.bytes_since_snapshot > constants.SNAPSHOT_INTERVAL_BYTES
         )
 
     def take_snapshot(self):
         snapshot = {
-            "index": self.applied,
-            "term": self.log.term_at(self.applied),
-            "membership": self.membership_at(self.applied)[0].command(),
+            "index": self.last_applied,
+            "term": self.log.term_at(self.last_applied),
+            "membership": self.membership_at(self.last_applied)[0].command(),
             "state": self.machine.dump(),
         }
-        keep = max(self.log.base, self.applied - constants.MAX_RETAINED_LOG_ENTRIES)
+        keep = max(self.log.base, self.last_applied - constants.MAX_RETAINED_LOG_ENTRIES)
         self.log.put_snapshot(snapshot, keep)
 
     def not_committed_before(self, index: int) -> float | None:
@@ -240,7 +240,7 @@
             "state": self.chart.state,
             "term": self.log.term,
             "leader": self.leader,
-            "commit": self.commit,
+            "commit": self.commit_index,
             "last": self.log.last,
             "members": sorted(self.members),
             "seats": {m: seat["http"] for m, seat in self.members.items()},
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Bounds:
+class FailureTolerance:
     """What a group must bear.
 
     losses: voters lost at once. catch_up: seconds that a loss counts on after its machine is back or replaced.
@@ -97,10 +97,10 @@
     def bootstrap(self, members):
         self.log.put([{"i": 1, "t": 0, "c": membership.Membership(members).command()}])
         if self.chart.state == "learner":
-            self.read_members()
+            self.refresh_membership()
             return
         self.chart.step("birth")
-        self.read_members()
+        self.refresh_membership()
         self.last_contact = self.environment.now()
 
     def on_join_ask(self, sender, body):
@@ -116,12 +116,12 @@
 
     def change_members(self):
         """The leader's next step towards the voters that the group should have, if one is due."""
-        if not self.is_leader or not self.ready or self.commit < self.members_at:
+        if not self.is_leader or not self.ready or self.commit_index < self.membership_index:
             return
         if self.membership.joint:
             self.propose(self.membership.settled().command())
             return
-        if self.learners or self.departing or len(self.members) > self.bounds.smallest:
+        if self.learners or self.departing or len(self.members) > self.failure_tolerance.smallest:
             wanted = membership.next_voters(self.view())
             if wanted is not None:
                 self.propose(self.membership.change_to(wanted).command())
@@ -136,9 +136,9 @@
             learners=self.ready_learners(now),
             silence={member: self.silence(member, now) for member in self.other_members()},
             leaving=frozenset(self.departing),
-            smallest=self.bounds.smallest,
+            smallest=self.failure_tolerance.smallest,
             present_within=constants.QUORUM_TIMEOUT_S,
-            gone_after=self.bounds.gone_after,
+            gone_after=self.failure_tolerance.gone_after,
         )
 
     def forget_absent(self, now):
@@ -157,7 +157,7 @@
         for member_id, place in self.learners.items():
             progress = self.progress.get(member_id)
             answers = progress and progress.answered and self.silence(member_id, now) < constants.QUORUM_TIMEOUT_S
-            if answers and progress.match >= self.commit:
+            if answers and progress.match >= self.commit_index:
                 found[member_id] = {"address": place["address"], "http": place["http"]}
         return found
 
@@ -195,7 +195,7 @@
     def can_spare(self, member_id):
         """Whether a change that lets this voter go is to be expected."""
         newcomers = [learner for learner in self.learners if learner not in self.members]
-        return bool(newcomers) or len(self.membership.voters) > self.bounds.smallest
+        return bool(newcomers) or len(self.membership.voters) > self.failure_tolerance.smallest
 
     def on_leave_say(self, sender, body):
         if self.leaving and body["finished"]:
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -43,7 +43,7 @@
         if gap <= 0:
             self.replicate_now()
         elif not self.replicate_timer:
-            self.replicate_timer = self.environment.call_later(gap, self.guard(self.replicate_now))
+            self.replicate_timer = self.environment.call_later(gap, self.handle_disk_faults(self.replicate_now))
 
     def replicate_now(self):
         self.replicate_timer = None
@@ -55,7 +55,7 @@
         self.sent_at.pop(self.round - constants.MAX_REMEMBERED_ROUNDS, None)
         for member in self.targets():
             self.send_append(member)
-        self.count_rounds()
+        self.advance_confirmed_round()
 
     def send_append(self, member):
         """One append: entries as far as the window allows, else none but the round and the commit index."""
@@ -70,7 +70,7 @@
             term=self.log.term,
             prev=previous,
             prev_term=self.log.term_at(previous) or 0,
-            commit=self.commit,
+            commit=self.commit_index,
             round=self.round,
             echoed=progress.round,
             confirmed=self.confirmed_round,
@@ -112,7 +112,7 @@
         if body["done"]:
             progress.installed(body["index"])
             self.encoded = None if not self.transfers() else self.encoded
-            self.count_commit()
+            self.advance_commit_index()
             self.replicate()
             return
         progress.transfer.answered(body["index"], body["offset"])
@@ -139,22 +139,22 @@
                 progress.rejected(body["match"], body["round"], self.round)
         if progress.next <= self.log.last and progress.room() > 0:
             self.replicate()
-        self.count_rounds()
-        self.count_commit()
+        self.advance_confirmed_round()
+        self.advance_commit_index()
         self.change_members()
 
-    def count_commit(self):
+    def advance_commit_index(self):
         held = {member: progress.match for member, progress in self.progress.items()}
         held[self.member_id] = self.log.last
         index = self.membership.agreed(held)
-        if index > self.commit and self.log.term_at(index) == self.log.term:
-            self.commit = index
+        if index > self.commit_index and self.log.term_at(index) == self.log.term:
+            self.commit_index = index
             self.apply_all()
             if self.is_leader:
                 self.change_members()
                 self.replicate()
 
-    def count_rounds(self):
+    def advance_confirmed_round(self):
         if not self.is_leader:
             return
         seen = {member: progress.round for member, progress in self.progress.items()}
@@ -170,7 +170,7 @@
         for need, call in due:
             call(True)
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         """call(True) once a majority has answered a round sent from now on."""
         if not (self.is_leader and self.ready):
             call(False)
@@ -191,7 +191,7 @@
         progress = self.progress.get(member)
         return now - (progress.answered_at if progress else self.elected_at)
 
-    def keep_leading(self, now):
+    def maintain_leadership(self, now):
         present = [m for m in self.other_members() if self.silence(m, now) < constants.QUORUM_TIMEOUT_S]
         if not self.membership.has_quorum([*present, self.member_id]):
             self.step_down(True)
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -43,7 +43,7 @@
 
     def __init__(self, size, losses):
         self.pool = all_orders.Pool()
-        self.bounds = reconfiguration.Bounds(losses, 4.0)
+        self.failure_tolerance = reconfiguration.FailureTolerance(losses, 4.0)
         self.history, self.leaders, self.acknowledged = {}, {}, []
         self.seats, self.disks, self.marks, self.down = {}, {}, {}, set()
         self.count = 0
@@ -74,9 +74,9 @@
             [],
             self.machine_class(self.history),
             lambda: [self.address(other) for other in self.seats],
-            self.bounds,
+            self.failure_tolerance,
         )
-        seat.begin()
+        seat.start()
         self.seats[name] = seat
         self.down.discard(name)
 
@@ -98,7 +98,7 @@
 
     def tick(self, name):
         if name not in self.down:
-            self.seats[name].guard(self.seats[name].work)()
+            self.seats[name].handle_disk_faults(self.seats[name].run_periodic_tasks)()
 
     def deliver(self, at):
         if self.pool.waiting:
@@ -119,7 +119,7 @@
         if name in self.down or not (seat.is_leader and seat.ready):
             return
         asked, term = self.pool.time, seat.log.term
-        seat.confirm(lambda good: good and self.leases.append((term, asked)))
+        seat.confirm_leadership(lambda good: good and self.leases.append((term, asked)))
 
     # --- what must hold ---
     def check_leases(self, seat):
@@ -136,7 +136,7 @@
         """What a member takes for the earliest moment at which an entry was committed is no later than it was."""
         running = [seat for name, seat in self.seats.items() if name not in self.down]
         for seat in running:
-            for index in range(1, seat.commit + 1):
+            for index in range(1, seat.commit_index + 1):
                 self.committed_at.setdefault(index, self.pool.time)
         for seat, index in itertools.product(running, self.committed_at):
             moment = seat.not_committed_before(index)
@@ -157,7 +157,7 @@
         """Whether a leader has settled on just the members that there are: then a disk may be lost."""
         wanted = {f"{name}/{mark}" for name, mark in self.marks.items()}
         for name, seat in self.seats.items():
-            if name not in self.down and seat.is_leader and seat.ready and seat.commit >= seat.members_at:
+            if name not in self.down and seat.is_leader and seat.ready and seat.commit_index >= seat.membership_index:
                 if not seat.membership.joint and set(seat.membership.voters) == wanted:
                     newest = max(s.log.term for n, s in self.seats.items() if n not in self.down)
                     return seat.log.term == newest
@@ -177,7 +177,9 @@
                     self.check()
             if self.whole() and len({tuple(s.machine.rows) for s in self.seats.values()}) == 1:
                 return
-        states = {n: (s.chart.state, s.log.term, s.log.last, s.commit, s.membership) for n, s in self.seats.items()}
+        states = {
+            n: (s.chart.state, s.log.term, s.log.last, s.commit_index, s.membership) for n, s in self.seats.items()
+        }
         raise AssertionError(f"the group does not come to rest: {states}")
 
     def finish(self):
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -56,7 +56,7 @@
         while self.mailbox and not self.mailbox_stuck:
             self.mailbox.pop(0)()
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         if self.confirmed:
             call(True)
         else:
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -57,7 +57,7 @@
     def __init__(self, group, member_id):
         self.group, self.member_id, self.part = group, member_id, 1
         self.environment = all_orders.ManualEnvironment(group.pool, member_id)
-        self.machine, self.applied = service_part.ServiceMachine(), 0
+        self.machine, self.last_applied = service_part.ServiceMachine(), 0
         self.leader_tasks, self.quorum_until = [], 0.0
 
     def renew(self):
@@ -67,9 +67,9 @@
         return self.environment.now() < self.quorum_until
 
     def catch_up(self):
-        for command in self.group.log[self.applied :]:
+        for command in self.group.log[self.last_applied :]:
             self.result = self.machine.apply(0, command)
-        self.applied = len(self.group.log)
+        self.last_applied = len(self.group.log)
 
     def propose(self, command, call=lambda result: None):
         self.group.commit(command)
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -86,7 +86,7 @@
         member.time += 0.3
         call(True)
 
-    member.confirm = confirm
+    member.confirm_leadership = confirm
     member.events.clear()
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 504
     waited = [span for event in member.events for span in event.waited]
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -97,7 +97,7 @@
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         call(True)
 
     def propose(self, command, call):
@@ -140,7 +140,7 @@
         config_machine.ConfigMachine(),
     )
     duty = config_part.ConfigDuty(seat)
-    seat.begin()
+    seat.start()
     seat.bootstrap({"A/1": {"address": "a:1", "http": ""}})
     pool.time += 10
     seat.start_election(pre_vote=True)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -162,13 +162,13 @@
         ["a:1"],
         types.SimpleNamespace(apply=None),
     )
-    seat.failed = lambda: told.append(seat.chart.state)
+    seat.disk_fault_callback = lambda: told.append(seat.chart.state)
 
     def fail(*rest):
         raise disk.DiskFault("no space")
 
     for _ in range(2):
-        seat.guard(fail)()
+        seat.handle_disk_faults(fail)()
     assert told == ["stopped"]
 
 
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -16,7 +16,7 @@
     def __init__(self, refusals):
         self.refusals, self.log = refusals, []
         self.waiting = False
-        self.members = [types.SimpleNamespace(disk_lost=part == 1) for part in range(3)]
+        self.members = [types.SimpleNamespace(stopped_by_disk_fault=part == 1) for part in range(3)]
         self.environment = types.SimpleNamespace(sleep=lambda span: self.log.append("pause"), spawn=self.log.append)
         self.disk = types.SimpleNamespace(put=self.put)
 
@@ -28,7 +28,7 @@
     def reopen_parts(self):
         self.log.append("opened")
         for part in self.members:
-            part.disk_lost = False
+            part.stopped_by_disk_fault = False
 
     def wait_for_disk(self):
         keeper.Keeper.wait_for_disk(self)
@@ -51,8 +51,8 @@
 
     def reopen_some(once=[True]):  # noqa: B006
         failed.log.append("opened")
-        failed.members[1].disk_lost = False
-        failed.members[2].disk_lost = bool(once and once.pop())
+        failed.members[1].stopped_by_disk_fault = False
+        failed.members[2].stopped_by_disk_fault = bool(once and once.pop())
 
     failed.reopen_parts = reopen_some
     failed.disk_failed()
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -141,7 +141,7 @@
 
 def count_alone(self):
     """Commits what the leader alone has written."""
-    self.commit = self.log.last
+    self.commit_index = self.log.last
     self.apply_all()
 
 
@@ -154,7 +154,7 @@
 
 
 def test_the_walks_find_a_commit_without_a_majority(monkeypatch):
-    broken_by(monkeypatch, replication.Replication, "count_commit", count_alone, "^index .* is .* and ")
+    broken_by(monkeypatch, replication.Replication, "advance_commit_index", count_alone, "^index .* is .* and ")
 
 
 def test_the_walks_find_votes_without_a_majority(monkeypatch):
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -30,7 +30,7 @@
         self.held_back = []  # confirmations, while they are held back
         self.hold = False
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         if self.hold:
             self.held_back.append(call)
         else:
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -95,7 +95,7 @@
     assert operators.put(member, 0, 6)[0] == 412  # lost its race
     assert operators.put(member, 9, 9, "other")[0] == 400  # the number is used
     assert len(member.proposed) == count
-    member.confirm = lambda call: call(False)
+    member.confirm_leadership = lambda call: call(False)
     for base, edition in ((0, 5), (0, 6)):
         assert operators.put(member, base, edition)[0] == 503  # neither acknowledged nor refused
 
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", CALLS)
 def test_nothing_is_answered_as_read_or_written_unless_a_majority_confirms(name):
     member = operators.Member()
-    member.confirm, member.commits = lambda call: call(False), "lost"
+    member.confirm_leadership, member.commits = lambda call: call(False), "lost"
     assert CALLS[name](member)[0] == (504 if "put" in name else 503)
 
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -38,7 +38,7 @@
             WHO.values(),
             config_machine.ConfigMachine(),
         )
-        seat.begin()
+        seat.start()
         found[name] = seat
     return found
 
@@ -142,7 +142,7 @@
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         call(True)
 
     def propose(self, command, call):
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -209,4 +209,4 @@
             group.pool.deliver(0)
     stopped = [seat for seat in group.seats.values() if seat.chart.state == "stopped"]
     assert len(stopped) >= 2 and not any(seat.is_leader for seat in group.seats.values())
-    assert all(seat.applied == last or seat not in stopped for seat in group.seats.values())
+    assert all(seat.last_applied == last or seat not in stopped for seat in group.seats.values())
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -84,7 +84,7 @@
     leader = f.leader()
     if not leader:
         return False
-    return f.parts[name].members[0].commit >= f.parts[leader].members[0].commit
+    return f.parts[name].members[0].commit_index >= f.parts[leader].members[0].commit_index
 
 
 def main():
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -68,12 +68,12 @@
         "no fall back",
     ),
     "a lease answer needs a majority": (
-        weakened.put(replication.Replication, confirm=weakened.confirm_alone),
+        weakened.put(replication.Replication, confirm_leadership=weakened.confirm_alone),
         "frozen_owner_with_company",
         "new after ack",
     ),
     "a write needs a majority": (
-        weakened.put(replication.Replication, count_commit=weakened.count_alone),
+        weakened.put(replication.Replication, advance_commit_index=weakened.count_alone),
         "owner_cut_off",
         "writes kept",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -41,8 +41,8 @@
 
 def count_alone(self):
     """Commits what the leader alone has written."""
-    if self.log.last > self.commit:
-        self.commit = self.log.last
+    if self.log.last > self.commit_index:
+        self.commit_index = self.log.last
         self.apply_all()
 
 
