--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -45,7 +45,7 @@
                 self.start_election(pre_vote=True)
             elif due < constants.HEARTBEAT_INTERVAL_S:
                 self.environment.call_later(due, self.handle_disk_faults(self.start_election_if_due))
-        self.keep_joining(now)
+        self.send_join_requests(now)
 
     def start_election_if_due(self):
         quiet = self.environment.now() - max(self.last_contact, self.last_vote_at)
@@ -183,7 +183,7 @@
         held = {
             m: self.progress[m]
             for m in self.membership.voters
-            if m in self.progress and m not in (self.member_id, *self.departing)
+            if m in self.progress and m not in (self.member_id, *self.leaving_members)
         }
         ready = [m for m, progress in held.items() if progress.match == self.log.last]
         if not ready:
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -110,7 +110,7 @@
     @property
     def members(self):
         """Everyone whose vote counts now, id -> {"address", "http"}."""
-        return self.membership.everyone
+        return self.membership.all_voters
 
     def refresh_membership(self):
         """The latest membership in the log counts, committed or not."""
--- a/mothshed/control_plane/membership.py
+++ b/mothshed/control_plane/membership.py
@@ -10,8 +10,8 @@
 import dataclasses
 import typing
 
-Place = dict[str, str]  # {"address": ip:port of the system's own records, "http": ip:port}
-Voters = dict[str, Place]  # member id -> place
+Endpoint = dict[str, str]  # {"address": ip:port of the system's own records, "http": ip:port}
+Voters = dict[str, Endpoint]  # member id -> endpoint
 
 
 def majority_of(count: int) -> int:
@@ -31,7 +31,7 @@
     outgoing: Voters = dataclasses.field(default_factory=dict)
 
     @property
-    def everyone(self) -> Voters:
+    def all_voters(self) -> Voters:
         """Voters of both configurations."""
         return {**self.outgoing, **self.voters}
 
@@ -40,9 +40,9 @@
         """Whether a change of the voters is under way."""
         return bool(self.outgoing)
 
-    def configurations(self) -> list[Voters]:
+    def voter_sets(self) -> list[Voters]:
         """The voter sets of which each needs a majority."""
-        return [group for group in (self.voters, self.outgoing) if group]
+        return [voter_set for voter_set in (self.voters, self.outgoing) if voter_set]
 
     def has_quorum(self, ids: collections.abc.Iterable[str]) -> bool:
         """Whether these ids are a majority of every voter set.
@@ -53,28 +53,30 @@
         >>> Membership().has_quorum("A")
         False
         """
-        groups, present = self.configurations(), set(ids)
-        return bool(groups) and all(len(present & set(group)) >= majority_of(len(group)) for group in groups)
+        voter_sets, present = self.voter_sets(), set(ids)
+        return bool(voter_sets) and all(
+            len(present & set(voter_set)) >= majority_of(len(voter_set)) for voter_set in voter_sets
+        )
 
-    def agreed(self, values: dict[str, int]) -> int:
+    def quorum_value(self, values: dict[str, int]) -> int:
         """The highest value that a quorum has reached; values: id -> number, 0 where absent.
 
-        >>> Membership(dict.fromkeys("ABC")).agreed({"A": 9, "B": 7, "C": 2})
+        >>> Membership(dict.fromkeys("ABC")).quorum_value({"A": 9, "B": 7, "C": 2})
         7
-        >>> Membership(dict.fromkeys("ABY"), dict.fromkeys("ABX")).agreed({"A": 9, "Y": 9, "X": 5})
+        >>> Membership(dict.fromkeys("ABY"), dict.fromkeys("ABX")).quorum_value({"A": 9, "Y": 9, "X": 5})
         5
         """
         reached = []
-        for group in self.configurations():
-            ordered = sorted((values.get(member, 0) for member in group), reverse=True)
-            reached.append(ordered[majority_of(len(group)) - 1])
+        for voter_set in self.voter_sets():
+            ordered = sorted((values.get(member, 0) for member in voter_set), reverse=True)
+            reached.append(ordered[majority_of(len(voter_set)) - 1])
         return min(reached, default=0)
 
-    def change_to(self, voters: Voters) -> "Membership":
+    def enter_joint(self, voters: Voters) -> "Membership":
         """The joint membership that leads to these voters."""
         return Membership(dict(voters), dict(self.voters))
 
-    def settled(self) -> "Membership":
+    def leave_joint(self) -> "Membership":
         """The membership once the change is over."""
         return Membership(dict(self.voters))
 
@@ -88,7 +90,7 @@
     return Membership(command["members"], command.get("outgoing", {}))
 
 
-def name_of(member: str) -> str:
+def machine_name(member: str) -> str:
     """The machine's name in a member's id; the rest is the mark of one data folder."""
     return member.split("/")[0]
 
@@ -97,88 +99,90 @@
 class GroupView:
     """What the leader of a group sees of it; times in seconds.
 
-    voters: id -> place. learners: id -> place of those that hold all that is committed.
-    silence: id -> time since the voter's last answer. leaving: ids that said so.
-    smallest: the number of voters that the allowed losses call for.
+    voters: id -> endpoint. learners: id -> endpoint of those that hold all that is committed.
+    response_ages: id -> time since the voter's last answer. leaving: ids that said so.
+    min_voters: the number of voters that the allowed losses call for.
     """
 
     leader: str
     voters: Voters
     learners: Voters
-    silence: dict[str, float]
+    response_ages: dict[str, float]
     leaving: frozenset[str]
-    smallest: int
-    present_within: float
-    gone_after: float
+    min_voters: int
+    response_timeout_s: float
+    replace_after_s: float
 
 
 def next_voters(view: GroupView) -> Voters | None:
     """The voters to change to now, or None if the group is as it should be.
 
-    >>> place = {"address": "a", "http": "h"}
-    >>> group = dict.fromkeys(["A/1", "B/1", "X/1"], place)
-    >>> def look(**more):
-    ...     usual = dict(leader="A/1", voters=group, learners={}, silence={}, leaving=frozenset(),
-    ...                  smallest=3, present_within=0.6, gone_after=1.6)
-    ...     return sorted(next_voters(GroupView(**{**usual, **more})) or [])
-    >>> look(learners={"X/2": place}), look(learners={"Y/1": place})
+    >>> endpoint = {"address": "a", "http": "h"}
+    >>> group = dict.fromkeys(["A/1", "B/1", "X/1"], endpoint)
+    >>> def decide(**overrides):
+    ...     defaults = dict(leader="A/1", voters=group, learners={}, response_ages={}, leaving=frozenset(),
+    ...                     min_voters=3, response_timeout_s=0.6, replace_after_s=1.6)
+    ...     return sorted(next_voters(GroupView(**{**defaults, **overrides})) or [])
+    >>> decide(learners={"X/2": endpoint}), decide(learners={"Y/1": endpoint})
     (['A/1', 'B/1', 'X/2'], ['A/1', 'B/1', 'X/1', 'Y/1'])
-    >>> look(learners={"Y/1": place}, silence={"X/1": 1.0}), look(learners={"Y/1": place}, silence={"X/1": 1.7})
-    ([], ['A/1', 'B/1', 'Y/1'])
-    >>> look(silence={"X/1": 9.0}), look(silence={"X/1": 9.0}, smallest=1), look(leaving=frozenset(["X/1"]))
-    ([], ['A/1', 'B/1'], [])
+    >>> [decide(learners={"Y/1": endpoint}, response_ages={"X/1": age}) for age in (1.0, 1.7)]
+    [[], ['A/1', 'B/1', 'Y/1']]
+    >>> decide(response_ages={"X/1": 9.0}), decide(response_ages={"X/1": 9.0}, min_voters=1)
+    ([], ['A/1', 'B/1'])
+    >>> decide(leaving=frozenset(["X/1"]))
+    []
     """
-    for rule in (replace_wiped, release_one, move_one, admit_one):
+    for rule in (replace_wiped_voter, replace_unavailable_voter, update_voter_endpoint, add_voter):
         voters = rule(view)
         if voters is not None:
             return voters
     return None
 
 
-def without(voters: Voters, gone: str, newcomers: Voters) -> Voters:
+def replace_voter(voters: Voters, removed: str, replacements: Voters) -> Voters:
     """The voters less one, and with these newcomers."""
-    rest = {member: place for member, place in voters.items() if member != gone}
-    return {**rest, **newcomers}
+    rest = {member: endpoint for member, endpoint in voters.items() if member != removed}
+    return {**rest, **replacements}
 
 
-def replace_wiped(view: GroupView) -> Voters | None:
+def replace_wiped_voter(view: GroupView) -> Voters | None:
     """A machine that came back with an empty disk takes the place of what it was."""
-    for learner, place in view.learners.items():
+    for learner, endpoint in view.learners.items():
         for voter in view.voters:
-            if voter not in (learner, view.leader) and name_of(voter) == name_of(learner):
-                return without(view.voters, voter, {learner: place})
+            if voter not in (learner, view.leader) and machine_name(voter) == machine_name(learner):
+                return replace_voter(view.voters, voter, {learner: endpoint})
     return None
 
 
-def release_one(view: GroupView) -> Voters | None:
+def replace_unavailable_voter(view: GroupView) -> Voters | None:
     """A voter that leaves or has been silent for long is replaced, or let go if enough remain."""
-    silent = [voter for voter in view.voters if view.silence.get(voter, 0.0) > view.gone_after]
-    silent.sort(key=lambda voter: -view.silence[voter])
-    leaving = [voter for voter in view.voters if voter in view.leaving and voter not in silent]
-    for voter in silent + leaving:
+    unresponsive = [voter for voter in view.voters if view.response_ages.get(voter, 0.0) > view.replace_after_s]
+    unresponsive.sort(key=lambda voter: -view.response_ages[voter])
+    leaving = [voter for voter in view.voters if voter in view.leaving and voter not in unresponsive]
+    for voter in unresponsive + leaving:
         if voter == view.leader:
             continue
-        newcomers = [learner for learner in view.learners if learner not in view.voters]
-        if newcomers:
-            return without(view.voters, voter, {newcomers[0]: view.learners[newcomers[0]]})
-        if len(view.voters) > view.smallest:
-            return without(view.voters, voter, {})
+        candidates = [learner for learner in view.learners if learner not in view.voters]
+        if candidates:
+            return replace_voter(view.voters, voter, {candidates[0]: view.learners[candidates[0]]})
+        if len(view.voters) > view.min_voters:
+            return replace_voter(view.voters, voter, {})
     return None
 
 
-def move_one(view: GroupView) -> Voters | None:
+def update_voter_endpoint(view: GroupView) -> Voters | None:
     """A voter that came back with its disk at another address."""
-    for learner, place in view.learners.items():
-        if learner in view.voters and view.voters[learner] != place:
-            return {**view.voters, learner: place}
+    for learner, endpoint in view.learners.items():
+        if learner in view.voters and view.voters[learner] != endpoint:
+            return {**view.voters, learner: endpoint}
     return None
 
 
-def admit_one(view: GroupView) -> Voters | None:
+def add_voter(view: GroupView) -> Voters | None:
     """A further machine, while every voter answers: a group with one missing grows by replacement only."""
-    if any(view.silence.get(voter, 0.0) > view.present_within for voter in view.voters):
+    if any(view.response_ages.get(voter, 0.0) > view.response_timeout_s for voter in view.voters):
         return None
-    for learner, place in view.learners.items():
+    for learner, endpoint in view.learners.items():
         if learner not in view.voters and learner not in view.leaving:
-            return {**view.voters, learner: place}
+            return {**view.voters, learner: endpoint}
     return None
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -25,12 +25,12 @@
     catch_up: float = constants.DEFAULT_CATCH_UP_S
 
     @property
-    def smallest(self) -> int:
+    def min_voters(self) -> int:
         """The fewest voters of which a majority is left after the losses."""
         return 2 * self.losses + 1
 
     @property
-    def gone_after(self) -> float:
+    def replace_after_s(self) -> float:
         """Seconds of silence after which a voter may be replaced."""
         return constants.SILENT_VOTER_RATIO * self.catch_up
 
@@ -41,29 +41,29 @@
     def init_reconfiguration(self):
         self.empty_members = {}  # address -> (time, id, http) of first members that said empty
         self.learners = {}  # id -> {"address", "http", "at"}
-        self.departing = {}  # id -> when it last said that it leaves
+        self.leaving_members = {}  # id -> when it last said that it leaves
         self.leaving = self.may_stop = False  # whether this member is to stop, and may
-        self.asked_at = -1e9
+        self.last_join_request_at = -1e9
 
-    def keep_joining(self, now):
+    def send_join_requests(self, now):
         if self.leaving:
-            self.keep_leaving()
+            self.continue_leaving()
             return
-        if now - self.asked_at < constants.JOIN_REQUEST_INTERVAL_S or self.is_leader:
+        if now - self.last_join_request_at < constants.JOIN_REQUEST_INTERVAL_S or self.is_leader:
             return
-        self.asked_at = now
+        self.last_join_request_at = now
         if self.chart.state == "empty" and self.address in self.initial_addresses:
             for address in self.initial_addresses:
                 self.environment.send(
                     address, "born_ask", part=self.part, who=self.member_id, address=self.address, http=self.http
                 )
         if self.chart.state in ("empty", "learner") or now - self.last_contact > 2 * constants.ELECTION_TIMEOUT_MIN_S:
-            goals = (
-                {m["address"] for m in self.members.values()}
+            destinations = (
+                {member["address"] for member in self.members.values()}
                 | set(self.initial_addresses)
                 | set(self.known_addresses())
             )
-            for address in sorted(goals - {self.address}):
+            for address in sorted(destinations - {self.address}):
                 self.environment.send(
                     address, "join_ask", part=self.part, who=self.member_id, address=self.address, http=self.http
                 )
@@ -90,9 +90,18 @@
             return
         now = self.environment.now()
         self.empty_members[body["address"]] = (now, body["who"], body["http"])
-        fresh = {a: e for a, e in self.empty_members.items() if now - e[0] < 2 * constants.JOIN_REQUEST_INTERVAL_S}
-        if set(self.initial_addresses) <= set(fresh) and len(self.initial_addresses) >= 1:
-            self.bootstrap({fresh[a][1]: {"address": a, "http": fresh[a][2]} for a in sorted(self.initial_addresses)})
+        recent = {
+            address: entry
+            for address, entry in self.empty_members.items()
+            if now - entry[0] < 2 * constants.JOIN_REQUEST_INTERVAL_S
+        }
+        if set(self.initial_addresses) <= set(recent) and len(self.initial_addresses) >= 1:
+            self.bootstrap(
+                {
+                    recent[address][1]: {"address": address, "http": recent[address][2]}
+                    for address in sorted(self.initial_addresses)
+                }
+            )
 
     def bootstrap(self, members):
         self.log.put([{"i": 1, "t": 0, "c": membership.Membership(members).command()}])
@@ -108,7 +117,7 @@
         self.last_addresses[member_id] = body["address"]
         if not self.is_leader:
             return
-        self.departing.pop(member_id, None)
+        self.leaving_members.pop(member_id, None)
         if member_id in self.members and self.members[member_id]["address"] == body["address"]:
             return
         self.learners[member_id] = {"address": body["address"], "http": body["http"], "at": self.environment.now()}
@@ -119,55 +128,60 @@
         if not self.is_leader or not self.ready or self.commit_index < self.membership_index:
             return
         if self.membership.joint:
-            self.propose(self.membership.settled().command())
+            self.propose(self.membership.leave_joint().command())
             return
-        if self.learners or self.departing or len(self.members) > self.failure_tolerance.smallest:
-            wanted = membership.next_voters(self.view())
+        if self.learners or self.leaving_members or len(self.members) > self.failure_tolerance.min_voters:
+            wanted = membership.next_voters(self.group_view())
             if wanted is not None:
-                self.propose(self.membership.change_to(wanted).command())
+                self.propose(self.membership.enter_joint(wanted).command())
 
-    def view(self):
+    def group_view(self):
         """What this leader sees of its group now."""
         now = self.environment.now()
-        self.forget_absent(now)
+        self.expire_absent_members(now)
         return membership.GroupView(
             leader=self.member_id,
             voters=self.membership.voters,
-            learners=self.ready_learners(now),
-            silence={member: self.silence(member, now) for member in self.other_members()},
-            leaving=frozenset(self.departing),
-            smallest=self.failure_tolerance.smallest,
-            present_within=constants.QUORUM_TIMEOUT_S,
-            gone_after=self.failure_tolerance.gone_after,
+            learners=self.caught_up_learners(now),
+            response_ages={member: self.response_age(member, now) for member in self.other_members()},
+            leaving=frozenset(self.leaving_members),
+            min_voters=self.failure_tolerance.min_voters,
+            response_timeout_s=constants.QUORUM_TIMEOUT_S,
+            replace_after_s=self.failure_tolerance.replace_after_s,
         )
 
-    def forget_absent(self, now):
+    def expire_absent_members(self, now):
         """Drops learners that neither ask nor answer any more, and old words of leaving."""
-        for member_id, place in list(self.learners.items()):
-            settled = self.membership.voters.get(member_id, {}).get("address") == place["address"]
-            if settled or min(now - place["at"], self.silence(member_id, now)) > 4 * constants.JOIN_REQUEST_INTERVAL_S:
+        for member_id, endpoint in list(self.learners.items()):
+            settled = self.membership.voters.get(member_id, {}).get("address") == endpoint["address"]
+            if (
+                settled
+                or min(now - endpoint["at"], self.response_age(member_id, now)) > 4 * constants.JOIN_REQUEST_INTERVAL_S
+            ):
                 del self.learners[member_id]
-        self.departing = {
-            member_id: at for member_id, at in self.departing.items() if now - at < constants.LEAVE_REQUEST_TTL_S
+        self.leaving_members = {
+            member_id: at for member_id, at in self.leaving_members.items() if now - at < constants.LEAVE_REQUEST_TTL_S
         }
 
-    def ready_learners(self, now):
+    def caught_up_learners(self, now):
         """Places of the learners that answer and hold all that is committed."""
-        found = {}
-        for member_id, place in self.learners.items():
+        caught_up = {}
+        for member_id, endpoint in self.learners.items():
             progress = self.progress.get(member_id)
-            answers = progress and progress.answered and self.silence(member_id, now) < constants.QUORUM_TIMEOUT_S
-            if answers and progress.match >= self.commit_index:
-                found[member_id] = {"address": place["address"], "http": place["http"]}
-        return found
+            responsive = (
+                progress and progress.answered and self.response_age(member_id, now) < constants.QUORUM_TIMEOUT_S
+            )
+            if responsive and progress.match >= self.commit_index:
+                caught_up[member_id] = {"address": endpoint["address"], "http": endpoint["http"]}
+        return caught_up
 
     # --- a member that stops ---
     def leave(self):
         """This member's process is to stop: it hands over, and asks to be replaced or let go."""
         self.leaving = True
-        self.keep_leaving()
+        self.continue_leaving()
 
-    def keep_leaving(self) -> None:
+    def continue_leaving(self) -> None:
         """The next step of leaving; again on every heartbeat until `may_stop`."""
         if self.is_leader:
             self.transfer_leadership()
@@ -180,22 +194,22 @@
         if not self.is_leader:
             return
         member_id = body["who"]
-        self.departing[member_id] = self.environment.now()
+        self.leaving_members[member_id] = self.environment.now()
         self.learners.pop(member_id, None)
         self.change_members()
-        waiting = member_id in self.members and (
-            self.membership.joint or not self.knows_newcomers() or self.can_spare(member_id)
+        must_wait = member_id in self.members and (
+            self.membership.joint or not self.has_collected_join_requests() or self.can_remove_voter(member_id)
         )
-        self.send(member_id, "leave_say", finished=not waiting)
+        self.send(member_id, "leave_say", finished=not must_wait)
 
-    def knows_newcomers(self) -> bool:
+    def has_collected_join_requests(self) -> bool:
         """Whether this leader has led for long enough to have heard of every member that asks to join."""
         return self.ready and self.environment.now() - self.elected_at >= constants.JOIN_COLLECTION_S
 
-    def can_spare(self, member_id):
+    def can_remove_voter(self, member_id):
         """Whether a change that lets this voter go is to be expected."""
-        newcomers = [learner for learner in self.learners if learner not in self.members]
-        return bool(newcomers) or len(self.membership.voters) > self.failure_tolerance.smallest
+        candidates = [learner for learner in self.learners if learner not in self.members]
+        return bool(candidates) or len(self.membership.voters) > self.failure_tolerance.min_voters
 
     def on_leave_say(self, sender, body):
         if self.leaving and body["finished"]:
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -146,7 +146,7 @@
     def advance_commit_index(self):
         held = {member: progress.match for member, progress in self.progress.items()}
         held[self.member_id] = self.log.last
-        index = self.membership.agreed(held)
+        index = self.membership.quorum_value(held)
         if index > self.commit_index and self.log.term_at(index) == self.log.term:
             self.commit_index = index
             self.apply_all()
@@ -159,7 +159,7 @@
             return
         seen = {member: progress.round for member, progress in self.progress.items()}
         seen[self.member_id] = self.round
-        confirmed = self.membership.agreed(seen)
+        confirmed = self.membership.quorum_value(seen)
         self.confirmed_round = max(self.confirmed_round, confirmed)
         if confirmed in self.sent_at:
             self.quorum_until = max(
@@ -186,13 +186,13 @@
     def has_quorum(self):
         return self.is_leader and self.ready and self.environment.now() < self.quorum_until
 
-    def silence(self, member, now):
+    def response_age(self, member, now):
         """Seconds since a member's last answer to this leader, counted from its election at least."""
         progress = self.progress.get(member)
         return now - (progress.answered_at if progress else self.elected_at)
 
     def maintain_leadership(self, now):
-        present = [m for m in self.other_members() if self.silence(m, now) < constants.QUORUM_TIMEOUT_S]
+        present = [m for m in self.other_members() if self.response_age(m, now) < constants.QUORUM_TIMEOUT_S]
         if not self.membership.has_quorum([*present, self.member_id]):
             self.step_down(True)
             return
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -175,8 +175,8 @@
 def test_no_quorum_of_a_joint_membership_misses_one_of_the_old_or_the_new(old, new):
     everyone = sorted(set(old + new))
     before, after = membership.Membership(dict.fromkeys(old)), membership.Membership(dict.fromkeys(new))
-    joint = before.change_to(after.voters)
-    assert joint.settled() == after
+    joint = before.enter_joint(after.voters)
+    assert joint.leave_joint() == after
     for settled in (before, after):
         assert all(one & other for one in quorums(joint, everyone) for other in quorums(settled, everyone))
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -86,11 +86,11 @@
         pool = all_orders.Pool()
         seats = group(pool, {"A": [(2, 1, {"op": "note"})]}, "BC", "12")
         pool.time += 10
-        seats["C"].keep_joining(pool.time)
+        seats["C"].send_join_requests(pool.time)
         seats["B"].start_election(pre_vote=True)
         pool.time += 10
         seats["B"].start_election(pre_vote=False)
-        seats["C"].keep_joining(pool.time)
+        seats["C"].send_join_requests(pool.time)
         return pool, seats
 
     def check(seats):
@@ -105,7 +105,7 @@
         pool = all_orders.Pool()
         seats = group(pool, {}, "ABC", "222")
         for seat in seats.values():
-            seat.keep_joining(pool.time)
+            seat.send_join_requests(pool.time)
         return pool, seats
 
     def check(seats):
@@ -118,7 +118,7 @@
     for _turn in range(3):
         pool.time += 1
         for seat in seats.values():
-            seat.keep_joining(pool.time)
+            seat.send_join_requests(pool.time)
         while pool.waiting:
             pool.deliver(0)
     assert not seats["B"].members and not seats["C"].members
