--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -185,10 +185,10 @@
             for m in self.membership.voters
             if m in self.progress and m not in (self.member_id, *self.leaving_members)
         }
-        ready = [m for m, progress in held.items() if progress.match == self.log.last]
+        ready = [m for m, progress in held.items() if progress.match_index == self.log.last]
         if not ready:
             return False
-        self.send(max(ready, key=lambda m: held[m].round), "hand", term=self.log.term)
+        self.send(max(ready, key=lambda m: held[m].echoed_round), "hand", term=self.log.term)
         self.last_contact = self.environment.now()
         self.step_down(True)
         return True
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -15,7 +15,7 @@
 
     def init_following(self) -> None:
         """Makes ready to collect a snapshot, and proofs of what was not committed yet."""
-        self.collector = snapshot_transfer.Collector()
+        self.snapshot_assembler = snapshot_transfer.SnapshotAssembler()
         self.commit_moments = commit_moments.CommitMoments()
 
     def on_append(self, sender: str, body: dict[str, typing.Any]) -> None:
@@ -41,13 +41,15 @@
             body["commit"],
             self.environment.now(),
         )
-        good, match = self.take_entries(body["prev"], body["prev_term"], body["entries"])
+        good, match = self.append_entries(body["prev"], body["prev_term"], body["entries"])
         if good and min(body["commit"], match) > self.commit_index:
             self.commit_index = min(body["commit"], match)
             self.apply_all()
         self.send(body["who"], "append_say", term=self.log.term, good=good, match=match, round=body["round"])
 
-    def take_entries(self, previous: int, previous_term: int, entries: list[dict[str, typing.Any]]) -> tuple[bool, int]:
+    def append_entries(
+        self, previous: int, previous_term: int, entries: list[dict[str, typing.Any]]
+    ) -> tuple[bool, int]:
         """Writes what is new; (whether the log fits, up to where it is the leader's)."""
         if previous < self.log.base:  # what the snapshot holds is committed, so it is the leader's
             entries = [e for e in entries if e["i"] > self.log.base]
@@ -70,20 +72,20 @@
             return
         self.follow(body, sender)
         if body["index"] > self.commit_index:
-            snapshot = self.collector.take(body)
+            snapshot = self.snapshot_assembler.add_chunk(body)
             if snapshot is not None:
-                self.install(snapshot)
+                self.install_snapshot(snapshot)
         done = body["index"] <= self.commit_index
         self.send(
             body["who"],
             "snap_say",
             term=self.log.term,
             index=body["index"],
-            offset=self.collector.length,
+            offset=self.snapshot_assembler.received_chars,
             done=done,
         )
 
-    def install(self, snapshot: dict[str, typing.Any]) -> None:
+    def install_snapshot(self, snapshot: dict[str, typing.Any]) -> None:
         """Takes a whole snapshot in the place of the log up to its index."""
         self.log.put_snapshot(snapshot, snapshot["index"])
         self.machine.restore(snapshot["state"])
--- a/mothshed/control_plane/progress.py
+++ b/mothshed/control_plane/progress.py
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Flight:
+class InFlightEntries:
     """Entries sent and not acknowledged: the round they went with, the last index, bytes."""
 
     round: int
@@ -26,48 +26,48 @@
     """A follower's progress: `match` is held durably by it, `next` is what it is sent next."""
 
     def __init__(self, next_index: int, now: float) -> None:
-        self.match, self.next = 0, next_index
-        self.round, self.answered_at = 0, now  # highest round echoed, and when
-        self.answered = False  # whether it has answered this leader at all
-        self.flights: collections.deque[Flight] = collections.deque()
-        self.stale_until = 0  # rejections of this round and earlier say nothing new
-        self.transfer: snapshot_transfer.Transfer | None = (
+        self.match_index, self.next_index = 0, next_index
+        self.echoed_round, self.last_response_at = 0, now  # highest round echoed, and when
+        self.has_responded = False  # whether it has answered this leader at all
+        self.in_flight: collections.deque[InFlightEntries] = collections.deque()
+        self.last_stale_round = 0  # rejections of this round and earlier say nothing new
+        self.transfer: snapshot_transfer.SnapshotTransfer | None = (
             None  # the snapshot on its way, if the entries it needs are gone
         )
 
-    def room(self) -> int:
+    def available_window_bytes(self) -> int:
         """Bytes of entries that may be sent now."""
-        return constants.REPLICATION_WINDOW_BYTES - sum(flight.size for flight in self.flights)
+        return constants.REPLICATION_WINDOW_BYTES - sum(entries.size for entries in self.in_flight)
 
-    def sent(self, round_number: int, last: int, size: int) -> None:
+    def record_sent(self, round_number: int, last: int, size: int) -> None:
         """Notes entries up to `last` as under way."""
-        self.flights.append(Flight(round_number, last, size))
-        self.next = last + 1
+        self.in_flight.append(InFlightEntries(round_number, last, size))
+        self.next_index = last + 1
 
-    def echoed(self, round_number: int, now: float) -> None:
+    def record_response(self, round_number: int, now: float) -> None:
         """An answer to a round came, whatever it says of the log."""
-        self.round = max(self.round, round_number)
-        self.answered_at, self.answered = now, True
+        self.echoed_round = max(self.echoed_round, round_number)
+        self.last_response_at, self.has_responded = now, True
 
-    def accepted(self, match: int, round_number: int) -> None:
+    def record_accepted(self, match: int, round_number: int) -> None:
         """The follower holds everything up to `match`."""
-        self.match = max(self.match, match)
-        while self.flights and self.flights[0].round <= round_number:
-            self.flights.popleft()
-        if not self.flights or self.next <= self.match:
-            self.next = self.match + 1
+        self.match_index = max(self.match_index, match)
+        while self.in_flight and self.in_flight[0].round <= round_number:
+            self.in_flight.popleft()
+        if not self.in_flight or self.next_index <= self.match_index:
+            self.next_index = self.match_index + 1
 
-    def rejected(self, hint: int, round_number: int, newest_round: int) -> None:
-        """The follower's log does not reach to what was sent; `hint`: where it may match."""
-        if round_number <= self.stale_until:
+    def record_rejected(self, match_hint: int, round_number: int, newest_round: int) -> None:
+        """The follower's log does not reach to what was sent; `match_hint`: where it may match."""
+        if round_number <= self.last_stale_round:
             return
-        self.flights.clear()
-        self.stale_until = newest_round
-        self.next = max(self.match, hint) + 1
+        self.in_flight.clear()
+        self.last_stale_round = newest_round
+        self.next_index = max(self.match_index, match_hint) + 1
 
-    def installed(self, index: int) -> None:
+    def record_installed(self, index: int) -> None:
         """The follower has taken a snapshot up to this index."""
         self.transfer = None
-        self.flights.clear()
-        self.match = max(self.match, index)
-        self.next = self.match + 1
+        self.in_flight.clear()
+        self.match_index = max(self.match_index, index)
+        self.next_index = self.match_index + 1
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -169,9 +169,9 @@
         for member_id, endpoint in self.learners.items():
             progress = self.progress.get(member_id)
             responsive = (
-                progress and progress.answered and self.response_age(member_id, now) < constants.QUORUM_TIMEOUT_S
+                progress and progress.has_responded and self.response_age(member_id, now) < constants.QUORUM_TIMEOUT_S
             )
-            if responsive and progress.match >= self.commit_index:
+            if responsive and progress.match_index >= self.commit_index:
                 caught_up[member_id] = {"address": endpoint["address"], "http": endpoint["http"]}
         return caught_up
 
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -27,7 +27,7 @@
         self.quorum_until = 0.0
         self.ready = False
         self.elected_at = self.environment.now()
-        self.encoded = None  # the newest snapshot as text, while somebody needs it
+        self.encoded_snapshot = None  # the newest snapshot as text, while somebody needs it
 
     def targets(self):
         return self.other_members() + [m for m in self.learners if m not in self.members]
@@ -60,9 +60,9 @@
     def send_append(self, member):
         """One append: entries as far as the window allows, else none but the round and the commit index."""
         progress = self.progress_of(member)
-        if progress.next - 1 < self.log.base:
-            self.send_piece(member, progress)
-        previous = progress.next - 1 if progress.transfer is None else 0
+        if progress.next_index - 1 < self.log.base:
+            self.send_snapshot_chunk(member, progress)
+        previous = progress.next_index - 1 if progress.transfer is None else 0
         entries, size = self.next_entries(progress)
         self.send(
             member,
@@ -72,53 +72,55 @@
             prev_term=self.log.term_at(previous) or 0,
             commit=self.commit_index,
             round=self.round,
-            echoed=progress.round,
+            echoed=progress.echoed_round,
             confirmed=self.confirmed_round,
             entries=entries,
         )
         if entries:
-            progress.sent(self.round, entries[-1]["i"], size)
+            progress.record_sent(self.round, entries[-1]["i"], size)
 
     def next_entries(self, progress):
         """The entries to send now and their size; none while a snapshot is on its way."""
         if progress.transfer is not None:
             return [], 0
-        room, entries, size = min(progress.room(), constants.MAX_APPEND_BYTES), [], 0
-        for index in range(progress.next, min(self.log.last, progress.next + constants.MAX_APPEND_ENTRIES - 1) + 1):
+        room, entries, size = min(progress.available_window_bytes(), constants.MAX_APPEND_BYTES), [], 0
+        for index in range(
+            progress.next_index, min(self.log.last, progress.next_index + constants.MAX_APPEND_ENTRIES - 1) + 1
+        ):
             more = self.log.entry_bytes(index)
-            if size + more > room and (entries or progress.flights):
+            if size + more > room and (entries or progress.in_flight):
                 break
             entries.append(self.log.get(index))
             size += more
         return entries, size
 
-    def send_piece(self, member, progress):
+    def send_snapshot_chunk(self, member, progress):
         """Starts the transfer of the newest snapshot, or goes on with the one under way."""
         now = self.environment.now()
         if progress.transfer is None:
-            if self.encoded is None or self.encoded.index != self.log.snapshot["index"]:
-                self.encoded = snapshot_transfer.Encoded(self.log.snapshot)
-            progress.transfer = snapshot_transfer.Transfer(self.encoded)
-        if progress.transfer.due(now):
-            self.send(member, "snap", term=self.log.term, **progress.transfer.piece(now))
+            if self.encoded_snapshot is None or self.encoded_snapshot.index != self.log.snapshot["index"]:
+                self.encoded_snapshot = snapshot_transfer.EncodedSnapshot(self.log.snapshot)
+            progress.transfer = snapshot_transfer.SnapshotTransfer(self.encoded_snapshot)
+        if progress.transfer.chunk_due(now):
+            self.send(member, "snap", term=self.log.term, **progress.transfer.next_chunk(now))
 
     def on_snap_say(self, sender, body):
         progress = self.progress.get(body["who"])
         if not self.is_leader or body["term"] != self.log.term or progress is None:
             return
-        progress.answered_at, progress.answered = self.environment.now(), True
-        if progress.transfer is None or body["index"] != progress.transfer.encoded.index:
+        progress.last_response_at, progress.has_responded = self.environment.now(), True
+        if progress.transfer is None or body["index"] != progress.transfer.snapshot.index:
             return
         if body["done"]:
-            progress.installed(body["index"])
-            self.encoded = None if not self.transfers() else self.encoded
+            progress.record_installed(body["index"])
+            self.encoded_snapshot = None if not self.active_transfers() else self.encoded_snapshot
             self.advance_commit_index()
             self.replicate()
             return
-        progress.transfer.answered(body["index"], body["offset"])
-        self.send_piece(body["who"], progress)
+        progress.transfer.acknowledged(body["index"], body["offset"])
+        self.send_snapshot_chunk(body["who"], progress)
 
-    def transfers(self):
+    def active_transfers(self):
         """The followers to which a snapshot is on its way."""
         return [member for member, progress in self.progress.items() if progress.transfer is not None]
 
@@ -131,20 +133,20 @@
         if not self.is_leader or body["term"] != self.log.term or member not in self.targets():
             return
         progress = self.progress_of(member)
-        progress.echoed(body["round"], self.environment.now())
+        progress.record_response(body["round"], self.environment.now())
         if progress.transfer is None:
             if body["good"]:
-                progress.accepted(body["match"], body["round"])
+                progress.record_accepted(body["match"], body["round"])
             else:
-                progress.rejected(body["match"], body["round"], self.round)
-        if progress.next <= self.log.last and progress.room() > 0:
+                progress.record_rejected(body["match"], body["round"], self.round)
+        if progress.next_index <= self.log.last and progress.available_window_bytes() > 0:
             self.replicate()
         self.advance_confirmed_round()
         self.advance_commit_index()
         self.change_members()
 
     def advance_commit_index(self):
-        held = {member: progress.match for member, progress in self.progress.items()}
+        held = {member: progress.match_index for member, progress in self.progress.items()}
         held[self.member_id] = self.log.last
         index = self.membership.quorum_value(held)
         if index > self.commit_index and self.log.term_at(index) == self.log.term:
@@ -157,7 +159,7 @@
     def advance_confirmed_round(self):
         if not self.is_leader:
             return
-        seen = {member: progress.round for member, progress in self.progress.items()}
+        seen = {member: progress.echoed_round for member, progress in self.progress.items()}
         seen[self.member_id] = self.round
         confirmed = self.membership.quorum_value(seen)
         self.confirmed_round = max(self.confirmed_round, confirmed)
@@ -189,7 +191,7 @@
     def response_age(self, member, now):
         """Seconds since a member's last answer to this leader, counted from its election at least."""
         progress = self.progress.get(member)
-        return now - (progress.answered_at if progress else self.elected_at)
+        return now - (progress.last_response_at if progress else self.elected_at)
 
     def maintain_leadership(self, now):
         present = [m for m in self.other_members() if self.response_age(m, now) < constants.QUORUM_TIMEOUT_S]
--- a/tests/test_log_transfer.py
+++ b/tests/test_log_transfer.py
@@ -16,57 +16,62 @@
 
 def test_the_window_fills_and_an_acknowledgement_opens_it():
     progress = make_progress()
-    progress.sent(1, 4, constants.REPLICATION_WINDOW_BYTES - 10)
-    progress.sent(2, 6, 10)
-    assert progress.room() == 0 and progress.next == 7
-    progress.accepted(4, 1)
-    assert progress.room() == constants.REPLICATION_WINDOW_BYTES - 10 and (progress.match, progress.next) == (4, 7)
+    progress.record_sent(1, 4, constants.REPLICATION_WINDOW_BYTES - 10)
+    progress.record_sent(2, 6, 10)
+    assert progress.available_window_bytes() == 0 and progress.next_index == 7
+    progress.record_accepted(4, 1)
+    assert progress.available_window_bytes() == constants.REPLICATION_WINDOW_BYTES - 10 and (
+        progress.match_index,
+        progress.next_index,
+    ) == (4, 7)
 
 
 def test_an_echo_of_a_later_round_shows_what_was_lost():
     progress = make_progress()
-    progress.sent(1, 4, 10)
-    progress.accepted(0, 2)  # the empty append of round 2 came, the entries of round 1 did not
-    assert progress.next == 1 and not progress.flights
+    progress.record_sent(1, 4, 10)
+    progress.record_accepted(0, 2)  # the empty append of round 2 came, the entries of round 1 did not
+    assert progress.next_index == 1 and not progress.in_flight
 
 
 def test_an_echo_of_an_earlier_round_says_nothing_of_what_is_under_way():
     progress = make_progress()
-    progress.sent(3, 4, 10)
-    progress.accepted(0, 2)
-    assert progress.next == 5 and len(progress.flights) == 1
+    progress.record_sent(3, 4, 10)
+    progress.record_accepted(0, 2)
+    assert progress.next_index == 5 and len(progress.in_flight) == 1
 
 
 def test_only_the_first_of_several_rejections_starts_over():
     progress = make_progress(9)
     for round_number in (4, 5, 6):
-        progress.sent(round_number, 8 + round_number, 10)
-    progress.rejected(2, 4, newest_round=6)
-    assert progress.next == 3
-    progress.sent(7, 14, 10)
-    progress.rejected(2, 5, newest_round=7)
-    progress.rejected(2, 6, newest_round=7)
-    assert progress.next == 15
-    progress.rejected(2, 7, newest_round=7)
-    assert progress.next == 3
+        progress.record_sent(round_number, 8 + round_number, 10)
+    progress.record_rejected(2, 4, newest_round=6)
+    assert progress.next_index == 3
+    progress.record_sent(7, 14, 10)
+    progress.record_rejected(2, 5, newest_round=7)
+    progress.record_rejected(2, 6, newest_round=7)
+    assert progress.next_index == 15
+    progress.record_rejected(2, 7, newest_round=7)
+    assert progress.next_index == 3
 
 
 def transfer(state, lose=lambda turn: False, spoil=lambda fields: fields):
     """Carries a snapshot over a link that loses some pieces and answers; (snapshot, pieces sent)."""
-    sender = snapshot_transfer.Transfer(snapshot_transfer.Encoded({"index": 7, "term": 2, "state": state}))
-    receiver, now = snapshot_transfer.Collector(), 0.0
+    sender = snapshot_transfer.SnapshotTransfer(
+        snapshot_transfer.EncodedSnapshot({"index": 7, "term": 2, "state": state})
+    )
+    receiver, now = snapshot_transfer.SnapshotAssembler(), 0.0
     for turn in range(1, 2000):
         now += 0.1
-        if not sender.due(now):
+        if not sender.chunk_due(now):
             continue
-        fields = spoil(sender.piece(now))
+        fields = spoil(sender.next_chunk(now))
         if lose(2 * turn):
             continue
-        found = receiver.take(fields)
+        found = receiver.add_chunk(fields)
         if found is not None:
             return found, turn
         if not lose(2 * turn + 1):
-            sender.answered(7, receiver.length)
+            sender.acknowledged(7, receiver.received_chars)
     raise AssertionError("the snapshot never came")
 
 
@@ -94,17 +99,22 @@
 
 def test_pieces_of_two_snapshots_are_never_joined(monkeypatch):
     monkeypatch.setattr(constants, "SNAPSHOT_CHUNK_CHARS", 50)
-    older = snapshot_transfer.Encoded({"index": 7, "term": 2, "state": list(range(100))})
-    newer = snapshot_transfer.Encoded({"index": 9, "term": 2, "state": list(range(100, 200))})
-    first, second, receiver = (*map(snapshot_transfer.Transfer, (older, newer)), snapshot_transfer.Collector())
-    assert receiver.take(first.piece(0.0)) is None
-    first.answered(7, receiver.length)
-    assert receiver.take(second.piece(0.0)) is None  # the newer one begins at its own first piece
-    assert receiver.take(first.piece(1.0)) is None and receiver.length == 0  # the older one must begin anew
+    older = snapshot_transfer.EncodedSnapshot({"index": 7, "term": 2, "state": list(range(100))})
+    newer = snapshot_transfer.EncodedSnapshot({"index": 9, "term": 2, "state": list(range(100, 200))})
+    first, second, receiver = (
+        *map(snapshot_transfer.SnapshotTransfer, (older, newer)),
+        snapshot_transfer.SnapshotAssembler(),
+    )
+    assert receiver.add_chunk(first.next_chunk(0.0)) is None
+    first.acknowledged(7, receiver.received_chars)
+    assert receiver.add_chunk(second.next_chunk(0.0)) is None  # the newer one begins at its own first piece
+    assert (
+        receiver.add_chunk(first.next_chunk(1.0)) is None and receiver.received_chars == 0
+    )  # the older one must begin anew
     found = None
     while found is None:
-        second.answered(9, receiver.length)
-        found = receiver.take(second.piece(2.0))
+        second.acknowledged(9, receiver.received_chars)
+        found = receiver.add_chunk(second.next_chunk(2.0))
     assert found == json.loads(newer.text)
 
 
@@ -133,7 +143,7 @@
             most = max(most, sum(kind == "snap" for _, _, kind, _ in group.pool.waiting))
     assert most == 1
     assert group.seats[away].machine.rows == group.seats[leader].machine.rows
-    assert not group.seats[leader].transfers() and group.seats[leader].encoded is None
+    assert not group.seats[leader].active_transfers() and group.seats[leader].encoded_snapshot is None
 
 
 def test_what_is_kept_and_sent_is_level_in_the_number_of_changes():
