--- a/mothshed/control_plane/commit_moments.py
+++ b/mothshed/control_plane/commit_time_bounds.py
@@ -12,20 +12,20 @@
 import mothshed.constants as constants
 
 
-class CommitMoments:
+class CommitTimeBounds:
     """Proofs from the appends of one leader, those of the newest term that was heard."""
 
     def __init__(self) -> None:
         self.term = 0
-        self.forget()
+        self.reset()
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Drop all that an earlier leader's rounds have shown."""
         self.echoed_at: dict[int, float] = {}  # round -> this member's clock when it was received
         self.sent_after: dict[int, float] = {}  # round -> a moment at or before which it was not sent yet
         self.proofs: collections.deque[tuple[int, float]] = collections.deque(maxlen=constants.MAX_COMMIT_PROOFS)
 
-    def received(self, term: int, round_number: int, echoed: int, confirmed: int, commit: int, now: float) -> None:
+    def record_append(self, term: int, round_number: int, echoed: int, confirmed: int, commit: int, now: float) -> None:
         """Take note of an append.
 
         echoed: the newest round whose echo by this member its sender had received; confirmed: the newest round
@@ -33,7 +33,7 @@
         """
         if term != self.term:
             self.term = term
-            self.forget()
+            self.reset()
         self.echoed_at[round_number] = now
         if echoed in self.echoed_at:
             self.sent_after[round_number] = self.echoed_at[echoed]
@@ -41,9 +41,9 @@
             rounds.pop(round_number - constants.MAX_REMEMBERED_ROUNDS, None)
         proven_at = self.sent_after.get(confirmed)
         if proven_at is not None:
-            self.note(commit, proven_at)
+            self.add_bound(commit, proven_at)
 
-    def note(self, commit: int, proven_at: float) -> None:
+    def add_bound(self, commit: int, proven_at: float) -> None:
         """No entry past this index was committed before this moment."""
         if self.proofs and self.proofs[-1][0] == commit:
             proven_at = max(proven_at, self.proofs.pop()[1])
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -40,19 +40,19 @@
         if self.is_leader:
             self.maintain_leadership(now)
         elif self.chart.state in ("follower", "candidate") and not self.leaving:
-            due = max(self.last_contact, self.last_vote_at) + self.election_timeout - now
-            if due <= 0:
+            remaining_s = max(self.last_contact, self.last_vote_at) + self.election_timeout - now
+            if remaining_s <= 0:
                 self.start_election(pre_vote=True)
-            elif due < constants.HEARTBEAT_INTERVAL_S:
-                self.environment.call_later(due, self.handle_disk_faults(self.start_election_if_due))
+            elif remaining_s < constants.HEARTBEAT_INTERVAL_S:
+                self.environment.call_later(remaining_s, self.handle_disk_faults(self.start_election_if_due))
         self.send_join_requests(now)
 
     def start_election_if_due(self):
-        quiet = self.environment.now() - max(self.last_contact, self.last_vote_at)
+        elapsed_s = self.environment.now() - max(self.last_contact, self.last_vote_at)
         if (
             self.chart.state in ("follower", "candidate")
             and not self.leaving
-            and quiet > self.election_timeout - constants.CLOCK_ROUNDING_ERROR_S
+            and elapsed_s > self.election_timeout - constants.CLOCK_ROUNDING_ERROR_S
         ):
             self.start_election(pre_vote=True)
 
@@ -71,9 +71,9 @@
         self.leader = ""
         if not pre_vote:
             self.log.put_term(self.log.term + 1, self.member_id)
-        for m in self.other_members():
+        for member_id in self.other_members():
             self.send(
-                m,
+                member_id,
                 "vote_ask",
                 term=self.log.term + (1 if pre_vote else 0),
                 last=self.log.last,
@@ -91,18 +91,18 @@
             return
         if body["term"] > self.log.term and not body["trial"]:
             self.adopt_term(body["term"])
-        fresh = (body["last_term"], body["last"]) >= (self.log.last_term, self.log.last)
+        log_up_to_date = (body["last_term"], body["last"]) >= (self.log.last_term, self.log.last)
         if body["trial"]:
-            good = body["term"] > self.log.term and fresh
-            if good and self.chart.state == "candidate" and self.pre_vote and body["who"] < self.member_id:
+            granted = body["term"] > self.log.term and log_up_to_date
+            if granted and self.chart.state == "candidate" and self.pre_vote and body["who"] < self.member_id:
                 self.withdraw_candidacy()
         else:
-            good = body["term"] == self.log.term and fresh and self.log.vote in ("", body["who"])
-            if good:
+            granted = body["term"] == self.log.term and log_up_to_date and self.log.vote in ("", body["who"])
+            if granted:
                 self.log.put_term(self.log.term, body["who"])
                 self.last_vote_at = now
         self.last_addresses[body["who"]] = sender
-        self.send(body["who"], "vote_say", term=self.log.term, granted=good, trial=body["trial"])
+        self.send(body["who"], "vote_say", term=self.log.term, granted=granted, trial=body["trial"])
 
     def on_vote_say(self, sender, body):
         if body["term"] > self.log.term:
@@ -133,8 +133,8 @@
         which is no shorter). Votes for a successor that its leader named are given at once: then nothing is taken
         off.
         """
-        held_s = 0.0 if self.by_transfer else min(constants.VOTE_WITHHOLD_S, constants.QUORUM_TIMEOUT_S)
-        return float(self.elected_at) + lease_s - held_s + constants.LEASE_CLOCK_MARGIN_S
+        withheld_s = 0.0 if self.by_transfer else min(constants.VOTE_WITHHOLD_S, constants.QUORUM_TIMEOUT_S)
+        return float(self.elected_at) + lease_s - withheld_s + constants.LEASE_CLOCK_MARGIN_S
 
     def become_leader(self):
         self.chart.step("win")
@@ -148,20 +148,20 @@
         """Own first entry committed: all earlier ones are known, duties may start."""
         if result is not None and self.is_leader:
             self.ready = True
-            took = round(self.environment.now() - self.elected_at, 3)
-            log_buffer.report("part_led", part=self.part, who=self.member_id, term=self.log.term, after_s=took)
-            for duty in self.leader_tasks:
-                duty.start()
+            elapsed_s = round(self.environment.now() - self.elected_at, 3)
+            log_buffer.report("part_led", part=self.part, who=self.member_id, term=self.log.term, after_s=elapsed_s)
+            for task in self.leader_tasks:
+                task.start()
             self.change_members()
 
     def adopt_term(self, term):
-        was = self.is_leader
+        was_leader = self.is_leader
         self.log.put_term(term, "")
-        self.step_down(was)
+        self.step_down(was_leader)
 
-    def step_down(self, was):
+    def step_down(self, was_leader):
         self.chart.step("follow")
-        if was:
+        if was_leader:
             log_buffer.report("part_given_up", part=self.part, who=self.member_id, term=self.log.term)
             self.leader = ""
             self.lose_leadership()
@@ -180,15 +180,15 @@
         """Names the fullest other member as successor and stops taking writes."""
         if not self.is_leader:
             return False
-        held = {
-            m: self.progress[m]
-            for m in self.membership.voters
-            if m in self.progress and m not in (self.member_id, *self.leaving_members)
+        candidates = {
+            member_id: self.progress[member_id]
+            for member_id in self.membership.voters
+            if member_id in self.progress and member_id not in (self.member_id, *self.leaving_members)
         }
-        ready = [m for m, progress in held.items() if progress.match_index == self.log.last]
-        if not ready:
+        up_to_date = [member_id for member_id, progress in candidates.items() if progress.match_index == self.log.last]
+        if not up_to_date:
             return False
-        self.send(max(ready, key=lambda m: held[m].echoed_round), "hand", term=self.log.term)
+        self.send(max(up_to_date, key=lambda member_id: candidates[member_id].echoed_round), "hand", term=self.log.term)
         self.last_contact = self.environment.now()
         self.step_down(True)
         return True
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -6,7 +6,7 @@
 
 import typing
 
-import mothshed.control_plane.commit_moments as commit_moments
+import mothshed.control_plane.commit_time_bounds as commit_time_bounds
 import mothshed.control_plane.snapshot_transfer as snapshot_transfer
 
 
@@ -16,7 +16,7 @@
     def init_following(self) -> None:
         """Makes ready to collect a snapshot, and proofs of what was not committed yet."""
         self.snapshot_assembler = snapshot_transfer.SnapshotAssembler()
-        self.commit_moments = commit_moments.CommitMoments()
+        self.commit_time_bounds = commit_time_bounds.CommitTimeBounds()
 
     def on_append(self, sender: str, body: dict[str, typing.Any]) -> None:
         """A leader's entries, or none, with its commit index; answered with what is held."""
@@ -33,7 +33,7 @@
             )
             return
         self.follow(body, sender)
-        self.commit_moments.received(
+        self.commit_time_bounds.record_append(
             body["term"],
             body["round"],
             body["echoed"],
@@ -41,18 +41,18 @@
             body["commit"],
             self.environment.now(),
         )
-        good, match = self.append_entries(body["prev"], body["prev_term"], body["entries"])
-        if good and min(body["commit"], match) > self.commit_index:
+        accepted, match = self.append_entries(body["prev"], body["prev_term"], body["entries"])
+        if accepted and min(body["commit"], match) > self.commit_index:
             self.commit_index = min(body["commit"], match)
             self.apply_all()
-        self.send(body["who"], "append_say", term=self.log.term, good=good, match=match, round=body["round"])
+        self.send(body["who"], "append_say", term=self.log.term, good=accepted, match=match, round=body["round"])
 
     def append_entries(
         self, previous: int, previous_term: int, entries: list[dict[str, typing.Any]]
     ) -> tuple[bool, int]:
         """Writes what is new; (whether the log fits, up to where it is the leader's)."""
         if previous < self.log.base:  # what the snapshot holds is committed, so it is the leader's
-            entries = [e for e in entries if e["i"] > self.log.base]
+            entries = [entry for entry in entries if entry["i"] > self.log.base]
             if not entries:
                 return True, self.log.base
             previous = self.log.base
@@ -60,9 +60,9 @@
             return False, self.log.last
         elif self.log.term_at(previous) != previous_term:
             return False, self.commit_index
-        new = [e for e in entries if self.log.term_at(e["i"]) != e["t"]]
-        if new:
-            self.log.put([e for e in entries if e["i"] >= new[0]["i"]])
+        changed = [entry for entry in entries if self.log.term_at(entry["i"]) != entry["t"]]
+        if changed:
+            self.log.put([entry for entry in entries if entry["i"] >= changed[0]["i"]])
             self.refresh_membership()
         return True, previous + len(entries)
 
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -25,16 +25,16 @@
 import mothshed.transport.gossip as gossip
 import mothshed.transport.remembered as remembered
 
-Duty = config_part.ConfigDuty | orders.OrderDuty
+LeaderTask = config_part.ConfigDuty | orders.OrderDuty
 
 
-def incarnation(disk, name, chance):
+def load_member_id(disk, name, token_hex):
     """This member's id: its name and a mark that a wiped folder does not have."""
     text = disk.read("incarnation").decode()
     if not text:
-        if any(n.startswith("part-") for n in disk.names()):
+        if any(name.startswith("part-") for name in disk.names()):
             raise disk_module.DiskFault("logs without an incarnation: wipe the folder")
-        text = chance(6)
+        text = token_hex(6)
         disk.put("incarnation", text.encode())
     else:
         disk.sync_names()  # a process killed while it made the mark may not have come to it
@@ -42,15 +42,19 @@
 
 
 class Keeper:
-    def __init__(self, environment, settings, new_environment, disk, chance=secrets.token_hex, speech=None):
+    def __init__(
+        self, environment, settings, new_environment, disk, token_hex=secrets.token_hex, replica_protocol=None
+    ):
         self.environment, self.settings, self.disk = environment, settings, disk
-        self.waiting = False  # whether a failed disk is being tried
+        self.waiting_for_disk = False  # whether a failed disk is being tried
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
-        self.member_id = incarnation(disk, settings["name"], chance)
+        self.member_id = load_member_id(disk, settings["name"], token_hex)
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.lease_goals())
-            if speech
+            listed.Listed(
+                environment, settings["list_url"], self.journal, replica_protocol, lambda: self.lease_destinations()
+            )
+            if replica_protocol
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(
@@ -62,13 +66,13 @@
             self.replicas,
             remembered.Remembered(environment, disk),
         )
-        self.lease = lease_module.Lease(environment, self.lease_goals)
-        self.new_environment, self.speech = new_environment, speech
+        self.lease = lease_module.Lease(environment, self.lease_destinations)
+        self.new_environment, self.replica_protocol = new_environment, replica_protocol
         opened = [self.open_part(part) for part in range(constants.PART_COUNT)]
         self.members = [member for member, _ in opened]
         self.leader_tasks = [duty for _, duty in opened]
 
-    def open_part(self, part: int) -> tuple[member_module.Member, Duty]:
+    def open_part(self, part: int) -> tuple[member_module.Member, LeaderTask]:
         """This keeper's member of a part as its disk holds it, and what the member does when it leads."""
         settings = self.settings
         failure_tolerance = reconfiguration.FailureTolerance(
@@ -91,16 +95,16 @@
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
-        duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.speech, tenure)
+        duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.replica_protocol, tenure)
         permit_duty.PermitDuty(member, self.lease, self.journal, limit_bounds.from_settings(settings))
-        if self.speech and part == constants.LIST_READER_PART:
+        if self.replica_protocol and part == constants.LIST_READER_PART:
             list_duty.ListDuty(member, self.replicas)
         return member, duty
 
     def disk_failed(self):
         """A member stopped, not knowing what its disk holds: it is opened again once the disk takes writes."""
-        if not self.waiting:
-            self.waiting = True
+        if not self.waiting_for_disk:
+            self.waiting_for_disk = True
             self.environment.spawn(self.wait_for_disk)
 
     def wait_for_disk(self):
@@ -115,7 +119,7 @@
                 return
             except disk_module.DiskFault as fault:
                 log_buffer.note("disk_refuses", reason=str(fault))
-        self.waiting = False
+        self.waiting_for_disk = False
         if any(
             member.stopped_by_disk_fault for member in self.members
         ):  # one failed while this thread was about to end
@@ -123,15 +127,15 @@
 
     def reopen_parts(self) -> None:
         """Opens the parts that the disk failed, as a start of the process would; raises DiskFault."""
-        for part, former in enumerate(self.members):
-            if former.stopped_by_disk_fault:
+        for part, stopped_member in enumerate(self.members):
+            if stopped_member.stopped_by_disk_fault:
                 member, duty = self.open_part(part)
-                former.environment.stop()
+                stopped_member.environment.stop()
                 self.members[part], self.leader_tasks[part] = member, duty
                 log_buffer.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
                 member.start()
 
-    def lease_goals(self):
+    def lease_destinations(self):
         return [self.environment.address] + self.gossip.keepers()
 
     def run(self):
@@ -140,10 +144,10 @@
             member.start()
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
-    def front(self, make=keeper_front.KeeperFront):
-        return front.Server(self.settings["http"], make(self), constants.OPERATOR_SERVER_THREADS)
+    def front(self, handler_class=keeper_front.KeeperFront):
+        return front.Server(self.settings["http"], handler_class(self), constants.OPERATOR_SERVER_THREADS)
 
-    def in_part(self, member, call):
+    def call_in_mailbox(self, member, call):
         """Runs call() in a part's mailbox and waits for what it returns."""
         event, box = self.environment.new_event(), []
         member.environment.post(lambda: (box.append(call()), event.set()))
@@ -152,7 +156,7 @@
     def drain(self):
         """Hands every led part to a successor and leaves the groups; True if all were taken over."""
         for member in self.members:
-            self.in_part(member, member.leave)
+            self.call_in_mailbox(member, member.leave)
         self.environment.sleep(2 * constants.HEARTBEAT_INTERVAL_S)
         until = self.environment.now() + self.settings.get("drain_s", constants.DEFAULT_LEAVE_TIMEOUT_S)
         while self.environment.now() < until and not all(member.may_stop for member in self.members):
@@ -160,7 +164,7 @@
         return not any(member.is_leader for member in self.members)
 
     def condition(self):
-        parts = [m.condition() for m in self.members]
+        parts = [member.condition() for member in self.members]
         for row, duty, member in zip(parts, self.leader_tasks, self.members, strict=True):
             row.update(duty.report())
             for other in member.leader_tasks:
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -50,7 +50,7 @@
         self.leader = ""
         self.commit_index = self.last_applied = 0
         self.last_addresses = {}  # id -> address heard of lately
-        self.pending_proposals = {}  # index -> (term, call)
+        self.pending_proposals = {}  # index -> (term, callback)
         self.last_contact = environment.now()  # also after a start: an old promise may still hold
         self.by_transfer = False  # whether this member stood because its leader named it
         self.membership = membership.Membership()
@@ -85,20 +85,20 @@
             self.environment.subscribe(kind, self.handle_disk_faults(getattr(self, "on_" + kind)), self.part)
         self.environment.post(self.tick)
 
-    def handle_disk_faults(self, call):
-        def run(*args):
+    def handle_disk_faults(self, callback):
+        def run_callback(*args):
             if self.chart.state == "stopped":
                 return
             try:
-                call(*args)
-            except disk_module.DiskFault as e:
-                self.fail_disk(e)
+                callback(*args)
+            except disk_module.DiskFault as error:
+                self.fail_disk(error)
 
-        return run
+        return run_callback
 
-    def fail_disk(self, e):
+    def fail_disk(self, error):
         """What is on the disk is not known any more: this member takes no further part."""
-        log_buffer.failure("disk_fault", e, part=self.part)
+        log_buffer.failure("disk_fault", error, part=self.part)
         self.stop()
         self.stopped_by_disk_fault = True
         self.disk_fault_callback()
@@ -114,13 +114,13 @@
 
     def refresh_membership(self):
         """The latest membership in the log counts, committed or not."""
-        former = self.membership
+        previous = self.membership
         self.membership, self.membership_index = self.membership_at(self.log.last)
-        if self.membership != former:
+        if self.membership != previous:
             self.report_voters()
         if self.is_leader:
-            kept = set(self.targets())
-            self.progress = {member: row for member, row in self.progress.items() if member in kept}
+            replicated = set(self.targets())
+            self.progress = {member: row for member, row in self.progress.items() if member in replicated}
         if self.members and self.chart.state not in ("empty", "stopped"):
             self.chart.step("admit" if self.member_id in self.members else "learn")
 
@@ -149,22 +149,22 @@
         return self.members.get(member_id, {}).get("address", "")
 
     def other_members(self):
-        return [m for m in self.members if m != self.member_id]
+        return [member_id for member_id in self.members if member_id != self.member_id]
 
     def send(self, member_id, kind, **body):
         self.environment.send(self.address_of(member_id), kind, part=self.part, who=self.member_id, **body)
 
-    def propose(self, command, call=lambda result: None):
-        """call(result) once committed and applied; call(None): not known, read back."""
+    def propose(self, command, callback=lambda result: None):
+        """call(result) once committed and applied; callback(None): not known, read back."""
         if not self.is_leader:
-            call(None)
+            callback(None)
             return
         index = self.log.last + 1
-        self.pending_proposals[index] = (self.log.term, call)
+        self.pending_proposals[index] = (self.log.term, callback)
         try:
             self.log.put([{"i": index, "t": self.log.term, "c": command}])
-        except disk_module.DiskFault as e:
-            self.fail_disk(e)
+        except disk_module.DiskFault as error:
+            self.fail_disk(error)
             return
         if command.get("op") == "members":
             self.refresh_membership()
@@ -178,10 +178,10 @@
             if not self.can_apply(body["c"]):
                 self.stop_at_unknown_command(index, body["c"])
                 return
-            term, call = self.pending_proposals.pop(index, (None, None))
+            term, callback = self.pending_proposals.pop(index, (None, None))
             result = self.machine.apply(index, body["c"])
-            if call:
-                call(result if term == body["t"] else None)
+            if callback:
+                callback(result if term == body["t"] else None)
         if self.snapshot_due():
             self.take_snapshot()
 
@@ -215,23 +215,23 @@
     def not_committed_before(self, index: int) -> float | None:
         """The latest moment on this clock before which an entry surely was not committed; None if not known."""
         term = self.log.term_at(index)
-        return None if term is None else self.commit_moments.not_committed_before(term, index)
+        return None if term is None else self.commit_time_bounds.not_committed_before(term, index)
 
     def lose_leadership(self):
         """No longer leader: waiting writes are unknown, waiting reads fail."""
         pending, self.pending_proposals = self.pending_proposals, {}
-        for term, call in pending.values():
-            call(None)
+        for _term, callback in pending.values():
+            callback(None)
         self.fail_pending_reads()
-        for duty in self.leader_tasks:
-            duty.stop()
+        for task in self.leader_tasks:
+            task.stop()
 
     def stop(self):
         if self.chart.state == "stopped":
             return
-        was = self.is_leader
+        was_leader = self.is_leader
         self.chart.step("stop")
-        if was:
+        if was_leader:
             self.lose_leadership()
 
     def condition(self):
@@ -243,5 +243,5 @@
             "commit": self.commit_index,
             "last": self.log.last,
             "members": sorted(self.members),
-            "seats": {m: seat["http"] for m, seat in self.members.items()},
+            "seats": {member_id: endpoint["http"] for member_id, endpoint in self.members.items()},
         }
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -30,7 +30,7 @@
         self.encoded_snapshot = None  # the newest snapshot as text, while somebody needs it
 
     def targets(self):
-        return self.other_members() + [m for m in self.learners if m not in self.members]
+        return self.other_members() + [member for member in self.learners if member not in self.members]
 
     def progress_of(self, member):
         if member not in self.progress:
@@ -39,11 +39,11 @@
 
     def replicate(self):
         """Sends what is missing to every member, at most once in a MIN_ROUND_INTERVAL_S."""
-        gap = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
-        if gap <= 0:
+        delay_s = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
+        if delay_s <= 0:
             self.replicate_now()
         elif not self.replicate_timer:
-            self.replicate_timer = self.environment.call_later(gap, self.handle_disk_faults(self.replicate_now))
+            self.replicate_timer = self.environment.call_later(delay_s, self.handle_disk_faults(self.replicate_now))
 
     def replicate_now(self):
         self.replicate_timer = None
@@ -87,11 +87,11 @@
         for index in range(
             progress.next_index, min(self.log.last, progress.next_index + constants.MAX_APPEND_ENTRIES - 1) + 1
         ):
-            more = self.log.entry_bytes(index)
-            if size + more > room and (entries or progress.in_flight):
+            entry_bytes = self.log.entry_bytes(index)
+            if size + entry_bytes > room and (entries or progress.in_flight):
                 break
             entries.append(self.log.get(index))
-            size += more
+            size += entry_bytes
         return entries, size
 
     def send_snapshot_chunk(self, member, progress):
@@ -146,9 +146,9 @@
         self.change_members()
 
     def advance_commit_index(self):
-        held = {member: progress.match_index for member, progress in self.progress.items()}
-        held[self.member_id] = self.log.last
-        index = self.membership.quorum_value(held)
+        match_indexes = {member: progress.match_index for member, progress in self.progress.items()}
+        match_indexes[self.member_id] = self.log.last
+        index = self.membership.quorum_value(match_indexes)
         if index > self.commit_index and self.log.term_at(index) == self.log.term:
             self.commit_index = index
             self.apply_all()
@@ -159,31 +159,31 @@
     def advance_confirmed_round(self):
         if not self.is_leader:
             return
-        seen = {member: progress.echoed_round for member, progress in self.progress.items()}
-        seen[self.member_id] = self.round
-        confirmed = self.membership.quorum_value(seen)
+        echoed_rounds = {member: progress.echoed_round for member, progress in self.progress.items()}
+        echoed_rounds[self.member_id] = self.round
+        confirmed = self.membership.quorum_value(echoed_rounds)
         self.confirmed_round = max(self.confirmed_round, confirmed)
         if confirmed in self.sent_at:
             self.quorum_until = max(
                 self.quorum_until, self.sent_at[confirmed] + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
             )
-        due = [c for c in self.pending_reads if c[0] <= confirmed]
-        self.pending_reads = [c for c in self.pending_reads if c[0] > confirmed]
-        for need, call in due:
-            call(True)
+        due = [read for read in self.pending_reads if read[0] <= confirmed]
+        self.pending_reads = [read for read in self.pending_reads if read[0] > confirmed]
+        for _round_number, callback in due:
+            callback(True)
 
-    def confirm_leadership(self, call):
-        """call(True) once a majority has answered a round sent from now on."""
+    def confirm_leadership(self, callback):
+        """callback(True) once a majority has answered a round sent from now on."""
         if not (self.is_leader and self.ready):
-            call(False)
+            callback(False)
             return
-        self.pending_reads.append((self.round + 1, call))
+        self.pending_reads.append((self.round + 1, callback))
         self.replicate()
 
     def fail_pending_reads(self):
         due, self.pending_reads = self.pending_reads, []
-        for need, call in due:
-            call(False)
+        for _round_number, callback in due:
+            callback(False)
 
     def has_quorum(self):
         return self.is_leader and self.ready and self.environment.now() < self.quorum_until
@@ -194,7 +194,9 @@
         return now - (progress.last_response_at if progress else self.elected_at)
 
     def maintain_leadership(self, now):
-        present = [m for m in self.other_members() if self.response_age(m, now) < constants.QUORUM_TIMEOUT_S]
+        present = [
+            member for member in self.other_members() if self.response_age(member, now) < constants.QUORUM_TIMEOUT_S
+        ]
         if not self.membership.has_quorum([*present, self.member_id]):
             self.step_down(True)
             return
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -48,7 +48,7 @@
         self.seats, self.disks, self.marks, self.down = {}, {}, {}, set()
         self.count = 0
         self.committed_at = {}  # index -> when a member first knew it committed
-        self.moments_proven = 0  # how many such moments were checked
+        self.checked_commit_time_bounds = 0  # how many such moments were checked
         self.leases = []  # (term of the leader that a majority confirmed, when the lease was asked for)
         names = [chr(ord("A") + n) for n in range(size)]
         voters = {f"{name}/1": {"address": self.address(name), "http": ""} for name in names}
@@ -132,7 +132,7 @@
                     f"a lease of term {term} runs {left:.2f} s past the wait of the leader of {seat.member_id}"
                 )
 
-    def check_commit_moments(self):
+    def check_commit_time_bounds(self):
         """What a member takes for the earliest moment at which an entry was committed is no later than it was."""
         running = [seat for name, seat in self.seats.items() if name not in self.down]
         for seat in running:
@@ -141,12 +141,12 @@
         for seat, index in itertools.product(running, self.committed_at):
             moment = seat.not_committed_before(index)
             if moment is not None:
-                self.moments_proven += 1
+                self.checked_commit_time_bounds += 1
                 late_s = moment - self.committed_at[index]
                 assert late_s <= 0, f"{seat.member_id} takes index {index} for committed {late_s:.2f} s after it was"
 
     def check(self):
-        self.check_commit_moments()
+        self.check_commit_time_bounds()
         for name, seat in self.seats.items():
             if name not in self.down and seat.is_leader:
                 known = self.leaders.setdefault(seat.log.term, seat.member_id)
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -78,7 +78,10 @@
 
 def keeper(member):
     return types.SimpleNamespace(
-        members=[member], leader_tasks=[], environment=types.SimpleNamespace(new_event=member.new_event), in_part=None
+        members=[member],
+        leader_tasks=[],
+        environment=types.SimpleNamespace(new_event=member.new_event),
+        call_in_mailbox=None,
     )
 
 
--- a/tests/platform_door.py
+++ b/tests/platform_door.py
@@ -37,7 +37,9 @@
             "list_url": list_url,
             "data": str(folder),
         }
-        self.keeper = keeper_module.Keeper(environment, settings, new_environment, disk.Disk(folder), speech=speech)
+        self.keeper = keeper_module.Keeper(
+            environment, settings, new_environment, disk.Disk(folder), replica_protocol=speech
+        )
         self.keeper.run()
         self.keeper_server = self.keeper.front(platform_site.operator_front.OperatorFront)
         self.address = platform_site.serve(self.keeper_server)
--- a/tests/test_commit_moments.py
+++ b/tests/test_commit_time_bounds.py
@@ -6,7 +6,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.commit_moments as commit_moments
+import mothshed.control_plane.commit_time_bounds as commit_time_bounds
 import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.lease_bounds as lease_bounds
 import tests.all_orders as all_orders
@@ -15,42 +15,42 @@
 import tests.test_lease_state as test_lease_state
 
 
-def moments_of(*appends):
+def bounds_after(*appends):
     """The proofs after these appends of term 1: (when, round, echoed, confirmed, commit)."""
-    moments = commit_moments.CommitMoments()
+    bounds = commit_time_bounds.CommitTimeBounds()
     for at, number, echoed, confirmed, commit in appends:
-        moments.received(1, number, echoed, confirmed, commit, at)
-    return moments
+        bounds.record_append(1, number, echoed, confirmed, commit, at)
+    return bounds
 
 
 def test_a_round_that_a_majority_echoed_dates_what_was_not_committed():
-    moments = moments_of((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5))
+    bounds = bounds_after((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5))
     # round 3 says that 2 is confirmed; 2 was sent after this member's echo of 1
-    assert moments.not_committed_before(1, 6) == 10.0
-    assert moments.not_committed_before(1, 5) is None  # committed for all that is known
-    assert moments.not_committed_before(2, 6) is None  # an entry of another leader than the last one heard
+    assert bounds.not_committed_before(1, 6) == 10.0
+    assert bounds.not_committed_before(1, 5) is None  # committed for all that is known
+    assert bounds.not_committed_before(2, 6) is None  # an entry of another leader than the last one heard
 
 
 def test_a_moment_that_was_proven_stays_when_the_entry_is_committed():
-    moments = moments_of((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5), (10.3, 4, 3, 3, 6))
-    assert moments.not_committed_before(1, 6) == 10.0 and moments.not_committed_before(1, 7) == 10.1
+    bounds = bounds_after((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5), (10.3, 4, 3, 3, 6))
+    assert bounds.not_committed_before(1, 6) == 10.0 and bounds.not_committed_before(1, 7) == 10.1
 
 
 def test_a_later_leader_makes_earlier_rounds_worthless():
-    moments = moments_of((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5))
-    moments.received(2, 1, 0, 0, 5, 10.3)
-    assert moments.not_committed_before(1, 6) is None and moments.not_committed_before(2, 6) is None
+    bounds = bounds_after((10.0, 1, 0, 0, 5), (10.1, 2, 1, 1, 5), (10.2, 3, 2, 2, 5))
+    bounds.record_append(2, 1, 0, 0, 5, 10.3)
+    assert bounds.not_committed_before(1, 6) is None and bounds.not_committed_before(2, 6) is None
 
 
 def test_before_any_echo_has_arrived_an_append_proves_nothing():
-    moments = moments_of((10.0, 1, 0, 0, 5), (10.1, 2, 0, 0, 5), (10.2, 3, 0, 0, 5))
-    assert moments.not_committed_before(1, 6) is None
+    bounds = bounds_after((10.0, 1, 0, 0, 5), (10.1, 2, 0, 0, 5), (10.2, 3, 0, 0, 5))
+    assert bounds.not_committed_before(1, 6) is None
 
 
 def test_only_so_many_commit_indexes_are_kept():
-    moments = moments_of(*((10 + 0.1 * n, n, n - 1, n - 1, n) for n in range(1, 4 * constants.MAX_COMMIT_PROOFS)))
-    assert len(moments.proofs) == constants.MAX_COMMIT_PROOFS
-    assert moments.not_committed_before(1, 2) is None  # forgotten, not guessed
+    bounds = bounds_after(*((10 + 0.1 * n, n, n - 1, n - 1, n) for n in range(1, 4 * constants.MAX_COMMIT_PROOFS)))
+    assert len(bounds.proofs) == constants.MAX_COMMIT_PROOFS
+    assert bounds.not_committed_before(1, 2) is None  # forgotten, not guessed
 
 
 def staged_and_lost(size, steps):
@@ -81,20 +81,20 @@
 
 def test_the_walks_check_such_moments():
     group = staged_and_lost(3, 4)[0]
-    assert group.moments_proven > 100
+    assert group.checked_commit_time_bounds > 100
 
 
 def received_without(rule):
-    """CommitMoments.received with one rule left out: a round counts as sent when it came, or as confirmed at once."""
-    whole = commit_moments.CommitMoments.received
+    """record_append with one rule left out: a round counts as sent when it came, or as confirmed at once."""
+    whole = commit_time_bounds.CommitTimeBounds.record_append
 
-    def received(self, term, number, echoed, confirmed, commit, now):
+    def record_append(self, term, number, echoed, confirmed, commit, now):
         if rule == "own echo":
             whole(self, term, number, number, confirmed, commit, now)
         else:
             whole(self, term, number, echoed, number, commit, now)
 
-    return received
+    return record_append
 
 
 def cut(group, apart):
@@ -117,7 +117,7 @@
 
 
 def newest_proof(group, name):
-    return max(at for _commit, at in group.seats[name].commit_moments.proofs)
+    return max(at for _commit, at in group.seats[name].commit_time_bounds.proofs)
 
 
 def proofs_while_cut_off():
@@ -138,7 +138,7 @@
 
 
 def test_without_the_confirmed_round_it_would(monkeypatch):
-    monkeypatch.setattr(commit_moments.CommitMoments, "received", received_without("confirmed round"))
+    monkeypatch.setattr(commit_time_bounds.CommitTimeBounds, "record_append", received_without("confirmed round"))
     assert proofs_while_cut_off() > 2 * constants.HEARTBEAT_INTERVAL_S
 
 
@@ -175,7 +175,7 @@
 
 
 def test_without_its_own_echo_it_would(monkeypatch):
-    monkeypatch.setattr(commit_moments.CommitMoments, "received", received_without("own echo"))
+    monkeypatch.setattr(commit_time_bounds.CommitTimeBounds, "record_append", received_without("own echo"))
     with pytest.raises(AssertionError, match="for committed .* s after it was"):
         commits_while_appends_are_late()
 
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -15,7 +15,7 @@
 
     def __init__(self, refusals):
         self.refusals, self.log = refusals, []
-        self.waiting = False
+        self.waiting_for_disk = False
         self.members = [types.SimpleNamespace(stopped_by_disk_fault=part == 1) for part in range(3)]
         self.environment = types.SimpleNamespace(sleep=lambda span: self.log.append("pause"), spawn=self.log.append)
         self.disk = types.SimpleNamespace(put=self.put)
@@ -43,7 +43,7 @@
     failed.disk_failed()  # a second member on the same disk
     assert len(failed.log) == 1
     failed.log.pop()()
-    assert failed.log == ["pause"] * 4 + ["opened"] and not failed.waiting
+    assert failed.log == ["pause"] * 4 + ["opened"] and not failed.waiting_for_disk
 
 
 def test_a_part_that_fails_while_the_others_are_opened_is_opened_too():
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -88,7 +88,7 @@
         "writes kept",
     ),
     "a wiped member is somebody new": (
-        weakened.put(keeper, incarnation=lambda disk, name, chance: f"{name}/same"),
+        weakened.put(keeper, load_member_id=lambda disk, name, token_hex: f"{name}/same"),
         "wiped_and_cut",
         "writes kept",
     ),
