--- a/mothshed/control_plane/writer_capacity.py
+++ b/mothshed/control_plane/decode_capacity.py
@@ -38,7 +38,7 @@
         self.running_gap += running * gap_s
 
 
-class WriterCapacity:
+class DecodeCapacity:
     """What the writers of one service are observed to carry."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -9,7 +9,7 @@
 import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.limit_bounds as limit_bounds
-import mothshed.control_plane.list_duty as list_duty
+import mothshed.control_plane.list_task as list_task
 import mothshed.control_plane.member as member_module
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.permit_duty as permit_duty
@@ -17,7 +17,7 @@
 import mothshed.control_plane.service_part as service_part
 import mothshed.http.front as front
 import mothshed.replicas.known_replicas as replicas_module
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.counters as counters
 import mothshed.runtime.journal as journal_module
 import mothshed.runtime.log_buffer as log_buffer
@@ -25,7 +25,7 @@
 import mothshed.transport.gossip as gossip
 import mothshed.transport.remembered as remembered
 
-Duty = config_part.ConfigDuty | orders.OrderDuty
+Duty = config_part.ConfigDuty | orders.OrderTask
 
 
 def incarnation(disk, name, chance):
@@ -49,7 +49,9 @@
         self.totals = self.journal.view(journal_module.Totals())
         self.member_id = incarnation(disk, settings["name"], chance)
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.lease_goals())
+            listed_replicas.ListedReplicas(
+                environment, settings["list_url"], self.journal, speech, lambda: self.lease_goals()
+            )
             if speech
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
@@ -91,10 +93,10 @@
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
-        duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.speech, tenure)
-        permit_duty.PermitDuty(member, self.lease, self.journal, limit_bounds.from_settings(settings))
+        duty = orders.OrderTask(member, self.replicas, self.lease, self.journal, self.speech, tenure)
+        permit_duty.PermitTask(member, self.lease, self.journal, limit_bounds.from_settings(settings))
         if self.speech and part == constants.LIST_READER_PART:
-            list_duty.ListDuty(member, self.replicas)
+            list_task.ListTask(member, self.replicas)
         return member, duty
 
     def disk_failed(self):
@@ -162,7 +164,7 @@
         for row, duty, member in zip(parts, self.leader_tasks, self.members, strict=True):
             row.update(duty.report())
             for other in member.leader_tasks:
-                if isinstance(other, permit_duty.PermitDuty):
+                if isinstance(other, permit_duty.PermitTask):
                     row.update(other.report())
         return {
             "name": self.settings["name"],
--- a/mothshed/control_plane/usage_duty.py
+++ b/mothshed/control_plane/load_task.py
@@ -8,16 +8,16 @@
 import dataclasses
 
 import mothshed.constants as constants
+import mothshed.control_plane.decode_capacity as decode_capacity
 import mothshed.control_plane.load_sums as load_sums
-import mothshed.control_plane.writer_capacity as writer_capacity
 import mothshed.replicas.replica_load as replica_load
 
 
-class UsageDuty:
+class LoadTask:
     def __init__(self, member, service_of=lambda name: ""):
         self.member, self.environment = member, member.environment
         self.service_of = service_of  # replica -> its service
-        self.capacities = {}  # service -> WriterCapacity
+        self.capacities = {}  # service -> DecodeCapacity
         self.reports = load_sums.LoadSums(self.environment.now)
         self.smooth = {}  # replica -> [requests, tokens being read]
         self.smoothed_at = None
@@ -67,9 +67,9 @@
             return tokens / constants.PREFILL_TOKENS_PER_S, 0, constants.PREFILL_FULL_QUEUE_S
         return run, 0, self.capacity(name).full_at(slots)
 
-    def capacity(self, name: str) -> writer_capacity.WriterCapacity:
+    def capacity(self, name: str) -> decode_capacity.DecodeCapacity:
         """What the writers of a replica's service carry."""
-        return self.capacities.setdefault(self.service_of(name), writer_capacity.WriterCapacity(self.environment.now))
+        return self.capacities.setdefault(self.service_of(name), decode_capacity.DecodeCapacity(self.environment.now))
 
     def observe_writers(self, loads: replica_load.Loads) -> None:
         """Take what the events of running streams tell, one sample for each replica with enough of them."""
@@ -79,4 +79,4 @@
                 sample = (self.smooth[name][0], load.events_s / load.events)
                 samples.setdefault(self.service_of(name), []).append(sample)
         for service, rows in samples.items():
-            self.capacities.setdefault(service, writer_capacity.WriterCapacity(self.environment.now)).observe(rows)
+            self.capacities.setdefault(service, decode_capacity.DecodeCapacity(self.environment.now)).observe(rows)
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -13,9 +13,9 @@
 import typing
 
 import mothshed.constants as constants
+import mothshed.control_plane.load_task as load_task
 import mothshed.control_plane.parts as parts
 import mothshed.control_plane.service_part as service_part
-import mothshed.control_plane.usage_duty as usage_duty
 import mothshed.http.web as web
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.pools as pools
@@ -26,12 +26,12 @@
     return condition["run"], condition["wait"], condition["slots"]
 
 
-class OrderDuty:
+class OrderTask:
     def __init__(self, member, replicas, lease, journal, speech=None, tenure=None):
         self.order_role = speech.order_role if speech else replica_adapter.order_role
         self.gives_roles = speech is not None and speech.gives_roles
         self.says_standing = speech is None or speech.says_standing
-        self.shared_usage = usage_duty.UsageDuty(member, self.service_of) if speech else None
+        self.shared_usage = load_task.LoadTask(member, self.service_of) if speech else None
         self.quiet = {}  # (replica, role) -> until when a taken order is not said again
         self.member, self.machine, self.environment = member, member.machine, member.environment
         self.replicas, self.lease, self.journal = replicas, lease, journal
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -12,7 +12,7 @@
 import mothshed.replicas.replica_load as replica_load
 
 
-class UsageShare:
+class LoadReporter:
     def __init__(self, environment, replicas, placing):
         self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
         self.busy_at, self.mark = -1e9, 0
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -10,17 +10,17 @@
 import mothshed.data_plane.budget as budget
 import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
+import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
-import mothshed.data_plane.usage_share as usage_share
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.leaders as leaders
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.counters as counters
@@ -36,7 +36,9 @@
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
+            listed_replicas.ListedReplicas(
+                environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers()
+            )
             if speech
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
@@ -54,7 +56,7 @@
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
+            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placing)
         self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
--- a/mothshed/replicas/listed.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -1,6 +1,6 @@
 """Replicas known from the platform's list alone.
 
-One process reads the list and tells all others (control_plane/list_duty.py); who hears
+One process reads the list and tells all others (control_plane/list_task.py); who hears
 nothing for LIST_MAX_AGE_S reads it for itself.
 Where the list itself tells each replica's part, no reports are asked for: a replica
 is usable while it is listed and staying. One that fails a send without proof is left
@@ -14,7 +14,7 @@
 import mothshed.replicas.leaders as leaders
 
 
-class Listed(replicas.Replicas):
+class ListedReplicas(replicas.Replicas):
     def __init__(self, environment, list_url, journal, speech, keepers):
         super().__init__(environment, list_url, journal)
         self.speech = speech
--- a/tests/test_writer_capacity.py
+++ b/tests/test_decode_capacity.py
@@ -8,8 +8,8 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.usage_duty as usage_duty
-import mothshed.control_plane.writer_capacity as writer_capacity
+import mothshed.control_plane.decode_capacity as decode_capacity
+import mothshed.control_plane.load_task as load_task
 import mothshed.replicas.replica_load as replica_load
 import tests.all_orders as all_orders
 
@@ -26,7 +26,7 @@
 def observed(idle_s, growth, seconds, writers=6, noise=0.0, seed=1, load=(2, 30)):
     """The capacity after so many seconds of a service whose writers are loaded unevenly."""
     chance, clock = random.Random(seed), [100.0]
-    capacity = writer_capacity.WriterCapacity(lambda: clock[0])
+    capacity = decode_capacity.DecodeCapacity(lambda: clock[0])
     for _ in range(round(seconds / constants.LOAD_REPORT_INTERVAL_S)):
         clock[0] += constants.LOAD_REPORT_INTERVAL_S
         running = [chance.uniform(*load) for _ in range(writers)]
@@ -35,7 +35,7 @@
 
 
 def test_without_an_observation_a_writer_is_full_at_the_usual_share_of_its_slots():
-    capacity = writer_capacity.WriterCapacity(lambda: 0.0)
+    capacity = decode_capacity.DecodeCapacity(lambda: 0.0)
     assert capacity.full_at(SLOTS) == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * SLOTS)
     capacity.observe([(3.0, 0.0)])  # no time between events is none
     assert capacity.full_at(12) == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * 12)
@@ -82,7 +82,7 @@
     strategies.lists(strategies.tuples(strategies.floats(0, 500), strategies.floats(0, 100)), max_size=30)
 )
 def test_whatever_is_observed_the_bounds_hold(samples):
-    capacity = writer_capacity.WriterCapacity(lambda: 0.0)
+    capacity = decode_capacity.DecodeCapacity(lambda: 0.0)
     capacity.observe(samples)
     assert constants.MIN_DECODE_FULL_SLOT_RATIO * SLOTS <= capacity.full_at(SLOTS) <= SLOTS
 
@@ -98,7 +98,7 @@
 def duty_with(loads, services):
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = usage_duty.UsageDuty(member, lambda name: services[name])
+    duty = load_task.LoadTask(member, lambda name: services[name])
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire(loads)})
     return pool, duty
 
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -6,11 +6,11 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.usage_duty as usage_duty
+import mothshed.control_plane.load_task as load_task
 import mothshed.data_plane.pair as pair_module
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.prompt_parts as prompt_parts
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_load as replica_load
 import mothshed.runtime.journal as journal
 import tests.all_orders as all_orders
@@ -36,7 +36,7 @@
     """Placing over replicas p1, p2 .. and d1, d2 ..; with the pool that moves its time."""
     pool = all_orders.Pool()
     environment = all_orders.ManualEnvironment(pool, "r:1")
-    found = listed.Listed(environment, "", journal.Journal(), None, lambda: [])
+    found = listed_replicas.ListedReplicas(environment, "", journal.Journal(), None, lambda: [])
     found.take_list(
         {
             n: {
@@ -185,7 +185,7 @@
 def test_sums_leave_out_the_asker_the_old_and_what_an_order_no_longer_keeps_away():
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = usage_duty.UsageDuty(member)
+    duty = load_task.LoadTask(member)
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire({"d1": usage(2, 0.5, [1, 0, 10])})})
     duty.on_usage(
         "r:2",
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.http.web as web
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.journal as journal
 import tests.all_orders as all_orders
 
@@ -31,7 +31,7 @@
 def process():
     pool = all_orders.Pool()
     environment = TimedEnvironment(pool, "r:1")
-    found = listed.Listed(environment, "", journal.Journal(), None, lambda: ["dead:1", "b:1", "c:1"])
+    found = listed_replicas.ListedReplicas(environment, "", journal.Journal(), None, lambda: ["dead:1", "b:1", "c:1"])
     return types.SimpleNamespace(pool=pool, environment=environment, listed=found)
 
 
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 import mothshed.data_plane.pair as pair_module
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.journal as journal
 import tests.order_group as order_group
 import tests.platform_site as platform_site
@@ -66,7 +66,7 @@
     group.seats["A"].renew()
     duty, seat = group.leader_tasks["A"], group.seats["A"]
     speech = Speech()
-    found = listed.Listed(seat.environment, "", journal.Journal(), None, lambda: [])
+    found = listed_replicas.ListedReplicas(seat.environment, "", journal.Journal(), None, lambda: [])
     found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
     duty.replicas, duty.journal, duty.gives_roles, duty.says_standing = found, journal.Journal(), True, False
     duty.order_role, duty.speech = speech.order_role, speech
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -32,12 +32,12 @@
 
 
 PARTS = {
-    "list": ("Listed.tick", "Listed.read_list", "list_ask", "list_news", "list page"),
+    "list": ("ListedReplicas.tick", "ListedReplicas.read_list", "list_ask", "list_news", "list page"),
     "gossip": ("Gossip.tick", "shuffle"),
     "lease": ("Lease.tick", "grant", "news", "look_elsewhere"),
-    "usage": ("UsageShare.tick", "usages"),
+    "usage": ("LoadReporter.tick", "usages"),
     "usage duty": ("usage",),
-    "order duty": ("OrderDuty.tick",),
+    "order duty": ("OrderTask.tick",),
     "configuration and agreement": ("ask", "news_ack", "ConfigDuty.tick", "append", "append_say", "Election.tick"),
 }
 
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -147,7 +147,7 @@
 
 
 ADMIT = carry.Carry.admit
-SHARED = orders.OrderDuty.shared
+SHARED = orders.OrderTask.shared
 APPLY = service_part.ServiceMachine.apply
 TAKE_LIST = replicas.Replicas.take_list
 PREFILL = replica_adapter.prefill
