--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -77,7 +77,7 @@
         """Returns if the whole request may be done over; raises its end otherwise."""
         if self.chart.state == "relaying":
             self.chart.step("break")
-            raise verdict.StreamBroken(str(e)) from e
+            raise verdict.StreamInterrupted(str(e)) from e
         held = self.ran and not self.request.safe
         if held or self.tries >= constants.MAX_PREFILL_ATTEMPTS or not self.may_send_more():
             self.end()
--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -226,13 +226,13 @@
             self.note_event()
             if number is not None:
                 if self.last is not None and number <= self.last:
-                    raise verdict.StreamBroken("an event came twice")
+                    raise verdict.StreamInterrupted("an event came twice")
                 self.last = number
             with self.pauses.watch(pauses_module.Cause.CALLER):
                 yield event
 
     def take_up(self):
-        """The rest of a broken resumable stream, from another replica; StreamBroken if there is none."""
+        """The rest of a broken resumable stream, from another replica; StreamInterrupted if there is none."""
         while self.again and self.last is not None and self.may_repeat():
             try:
                 reply, first, number, rows = self.once()
@@ -246,4 +246,4 @@
                 self.note(e)
             except verdict.Rejection:
                 break
-        raise verdict.StreamBroken(str(self.fails[-1]) if self.fails else "stream broke")
+        raise verdict.StreamInterrupted(str(self.fails[-1]) if self.fails else "stream broke")
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -43,9 +43,9 @@
         return ready
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerLeft if nobody waits for the answer any more: whatever failed says nothing of a replica then."""
+        """Raise CallerDisconnected once the caller is gone; a failure after that says nothing about a replica."""
         if self.ask.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def note_caller(self, kind: str, stage: str) -> None:
         """Count what is done over half a second after the caller was seen to have left."""
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -75,7 +75,7 @@
         """Take a permit for one request, waiting until then for it at most.
 
         row: the tenant's in the document of this sequence. caller: whose leaving ends the wait.
-        Raises Rejection (429 over the limit, 503 if nobody answers) and CallerLeft.
+        Raises Rejection (429 over the limit, 503 if nobody answers) and CallerDisconnected.
         """
         if not row.get("rate_per_s"):
             return
@@ -112,13 +112,13 @@
         self.next_tokens.pop(tenant, None)
 
     def wait(self, waiter: Waiter, until: float, caller: typing.Any) -> None:
-        """Wait until the request has its answer, its time is over or its caller has left (CallerLeft)."""
+        """Wait until the request has its answer, its time is over or its caller has left (CallerDisconnected)."""
         while not waiter.granted and waiter.retry_s is None:
             left = until - self.environment.now()
             if left <= 0:
                 return
             if caller is not None and caller.has_left():
-                raise verdict.CallerLeft()
+                raise verdict.CallerDisconnected()
             waiter.event.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
     def forget(self, tenant: str, waiter: Waiter) -> None:
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -90,7 +90,7 @@
         return Body(router, way, begun)
 
     def read(self, environ, born, caller):
-        """The request; Rejection when it can't be delivered, CallerLeft when nobody waits for it."""
+        """The request; Rejection when it can't be delivered, CallerDisconnected when nobody waits for it."""
         raw, router = environ["mothshed.headers"], self.router
         limits = (router.lease.document() or {}).get("limits", {})
         data = front.body_of(environ, limits.get("body_bytes", constants.MAX_BODY_BYTES))
@@ -146,8 +146,8 @@
             add("delivery", outcome=identity_module.REFUSED.get(e.status, "invalid"), reason=e.reason)
             if e.status == 503:
                 add("refusal", outcome=e.reason.replace(" ", "_"))
-            return self.fault(start, e.status, e.reason, e.retry, headers=identity_module.challenge(e.status))
-        if isinstance(e, verdict.CallerLeft):
+            return self.fault(start, e.status, e.reason, e.retry_after_s, headers=identity_module.challenge(e.status))
+        if isinstance(e, verdict.CallerDisconnected):
             add("delivery", outcome="left")
             return self.fault(start, 502, "the caller hung up", 0, "may_have_run")
         if isinstance(e, verdict.RequestFailure):
@@ -177,7 +177,7 @@
         except StopIteration:
             self.outcome = "done"
             raise
-        except verdict.StreamBroken:
+        except verdict.StreamInterrupted:
             self.outcome = "broken"
             raise
 
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -91,12 +91,12 @@
             self.flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
+        """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
         until = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
         return self.lease.current()
 
     def drain(self, most):
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -102,8 +102,8 @@
             if e.status == 503:
                 add("bounce", outcome="no_lease" if self.router.lease.sequence() is None else e.cause)
             extra += identity.challenge(e.status)
-            return front.fault(start, e.status, e.reason, retry=e.retry, headers=extra)
-        if isinstance(e, verdict.CallerLeft):
+            return front.fault(start, e.status, e.reason, retry=e.retry_after_s, headers=extra)
+        if isinstance(e, verdict.CallerDisconnected):
             add("request", outcome="left")
             return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=extra)
         if isinstance(e, verdict.RequestFailure):
@@ -170,7 +170,7 @@
             for row in self.run:
                 yield self.pack(row, made)
             yield b"data: [DONE]\n\n"
-        except verdict.StreamBroken:
+        except verdict.StreamInterrupted:
             self.outcome = "broken"
             raise
         self.outcome = "done"
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -59,7 +59,7 @@
         raise refusal
 
     def take_permit(self) -> None:
-        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerLeft."""
+        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerDisconnected."""
         request = self.request
         if request.identity is None:
             return
@@ -88,9 +88,9 @@
         return check
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerLeft if nobody waits for the answer any more."""
+        """Raises CallerDisconnected if nobody waits for the answer any more."""
         if self.request.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def left(self):
         left = self.request.cutoff - self.environment.now()
@@ -189,7 +189,7 @@
             except verdict.SendFailure as e:
                 if e.reason == web.NOT_READY:
                     continue
-                again = e.verdict is NOT_RUN and not e.gone
+                again = e.verdict is NOT_RUN and not e.handle_lost
                 while again and not self.router.budget.extra(int(self.sends["decode"] > 0)):
                     again = self.environment.now() < until
                     self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -83,7 +83,9 @@
         said, kind = None, ""
     clean = said == "not_run" and response.headers.get("x-request-id") is not None
     proof = verdict.Verdict.NOT_RUN if clean else verdict.Verdict.MAY_HAVE_RUN
-    return verdict.SendFailure(proof, f"status {response.status} {kind}".strip(), replica, gone=kind == "kv_gone")
+    return verdict.SendFailure(
+        proof, f"status {response.status} {kind}".strip(), replica, handle_lost=kind == "kv_gone"
+    )
 
 
 def prefill(environment, request, name, place, sequence, left, ready):
@@ -135,9 +137,9 @@
 def decode(environment, request, name, place, handle, sequence, left, ready):
     """Orders the decode; returns an iterator of (text, finish reason) that ends only when whole."""
     if handle.request.rsplit(".", 1)[0] != name.rsplit(".", 1)[0]:
-        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", place.name, gone=True)
+        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", place.name, handle_lost=True)
     if environment.now() - handle.born > constants.HANDLE_TTL_S:
-        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", place.name, gone=True)
+        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", place.name, handle_lost=True)
     body = {
         **request.body,
         "stream": True,
--- a/mothshed/replicas/verdict.py
+++ b/mothshed/replicas/verdict.py
@@ -21,26 +21,26 @@
     RAN = "ran"
 
 
-GRAVITY = {Verdict.NOT_RUN: 0, Verdict.MAY_HAVE_RUN: 1, Verdict.RAN: 2}
+SEVERITY = {Verdict.NOT_RUN: 0, Verdict.MAY_HAVE_RUN: 1, Verdict.RAN: 2}
 
 
-def worst(many):
-    return max(many, key=GRAVITY.get, default=Verdict.NOT_RUN)
+def worst(verdicts):
+    return max(verdicts, key=SEVERITY.get, default=Verdict.NOT_RUN)
 
 
 class SendFailure(Exception):
     """One send that did not succeed."""
 
-    def __init__(self, verdict, reason, replica="", gone=False, rejected=False):
+    def __init__(self, verdict, reason, replica="", handle_lost=False, rejected=False):
         super().__init__(f"{reason} ({replica or 'no replica'}: {verdict.value})")
         self.verdict = verdict
         self.reason = reason
         self.replica = replica
         self.rejected = rejected  # the replica itself turned it away
-        self.gone = gone  # the held memory is gone: no other decode can help
+        self.handle_lost = handle_lost  # the held memory is gone: no other decode can help
 
 
-class StreamBroken(Exception):
+class StreamInterrupted(Exception):
     """A stream that failed after a byte went to the user agent."""
 
 
@@ -52,16 +52,16 @@
         return worst([Verdict.MAY_HAVE_RUN, *(e.verdict for e in self.exceptions)])
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """The caller hung up: nobody waits for an answer any more, and nothing further is done for it."""
 
 
 class Rejection(Exception):
     """A request refused: nothing ran and nothing will."""
 
-    def __init__(self, status: int, reason: str, retry: float = 0, cause: str = "other") -> None:
+    def __init__(self, status: int, reason: str, retry_after_s: float = 0, cause: str = "other") -> None:
         super().__init__(reason)
         self.cause = cause  # for the metrics: why service was refused
         self.status = status
         self.reason = reason
-        self.retry = retry
+        self.retry_after_s = retry_after_s
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -34,7 +34,7 @@
 
 def repeat_unsafe(self, e):
     if self.chart.state == "relaying":
-        raise verdict.StreamBroken(str(e)) from e
+        raise verdict.StreamInterrupted(str(e)) from e
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.end()
 
