--- a/mothshed/control_plane/load_task.py
+++ b/mothshed/control_plane/load_task.py
@@ -49,7 +49,7 @@
             total[name] = dataclasses.replace(load, out_s=max(load.out_s, until - now))
         return total
 
-    def usage(self, name, role, slots):
+    def split_load(self, name, role, slots):
         """(running, waiting, slots) as the split weighs them, smoothed over a second or two."""
         now = self.environment.now()
         if self.smoothed_at is None or now - self.smoothed_at > constants.LOAD_REPORT_INTERVAL_S:
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -35,11 +35,11 @@
         self.leading = False
         self.sequence = 0  # of the document by which buckets were dropped last
         self.redirected: dict[str, tuple[float, int]] = {}  # address -> (when, mark): asked while no leader was known
-        member.machine.leader_began = self.leader_began
+        member.machine.leader_entry_applied = self.leader_entry_applied
         member.leader_tasks.append(self)
         self.environment.subscribe("permit_ask", self.on_permit_ask, member.part)
 
-    def leader_began(self) -> None:
+    def leader_entry_applied(self) -> None:
         """The entry with which a leader begins was applied."""
         self.began.append(self.environment.now())
 
--- a/mothshed/control_plane/service_part.py
+++ b/mothshed/control_plane/service_part.py
@@ -20,17 +20,17 @@
     commands = frozenset({"take", "roles"})  # what this release can apply
 
     def __init__(self):
-        self.holder, self.standing = "", 0
+        self.order_leader, self.fencing_token = "", 0
         self.roles = {}  # replica name -> role
-        self.leader_began = lambda: None  # told when the entry of a new leader is applied, or may have been
+        self.leader_entry_applied = lambda: None  # told when the entry of a new leader is applied, or may have been
 
     def apply(self, index, command):
         if command["op"] == "begin":
-            self.leader_began()
+            self.leader_entry_applied()
         if command["op"] == "take":
-            self.holder, self.standing = command["who"], self.standing + 1
-            return {"standing": self.standing}
-        if command["op"] == "roles" and command["standing"] == self.standing:
+            self.order_leader, self.fencing_token = command["who"], self.fencing_token + 1
+            return {"standing": self.fencing_token}
+        if command["op"] == "roles" and command["standing"] == self.fencing_token:
             self.roles.update(command["roles"])
             for name in command["gone"]:
                 self.roles.pop(name, None)
@@ -38,11 +38,11 @@
         return {"ignored": True}
 
     def dump(self):
-        return {"holder": self.holder, "standing": self.standing, "roles": self.roles}
+        return {"holder": self.order_leader, "standing": self.fencing_token, "roles": self.roles}
 
     def restore(self, state):
-        self.holder, self.standing, self.roles = state["holder"], state["standing"], dict(state["roles"])
-        self.leader_began()  # a snapshot may stand for such an entry
+        self.order_leader, self.fencing_token, self.roles = state["holder"], state["standing"], dict(state["roles"])
+        self.leader_entry_applied()  # a snapshot may stand for such an entry
 
 
 def bounds(pool, count):
@@ -80,91 +80,100 @@
     def __init__(self, now):
         self.now = now
         self.shifted_at = -1e9
-        self.lean, self.agreed = 0, 0
-        self.broken = 0  # beats in a row that saw a bound broken
+        self.direction, self.checks_in_direction = 0, 0
+        self.bound_broken_checks = 0  # beats in a row that saw a bound broken
 
-    def plan(self, pool, usage, roles, others=None, rank=0):
-        """usage: name -> (running, waiting, slots). Returns name -> role, all of them.
+    def plan(self, pool, loads, roles, others=None, rank=0):
+        """loads: name -> (running, waiting, slots). Returns name -> role, all of them.
 
-        others: name -> (role, usage) of the pool's replicas that other parts keep, as they
+        others: name -> (role, loads) of the pool's replicas that other parts keep, as they
         report. The bounds hold for the pool as a whole. rank: 0 for the part with the most of
         its replicas, which alone shifts; the others mend a bound only if it stays broken.
         """
-        names, others = sorted(usage), others or {}
+        names, others = sorted(loads), others or {}
         roles = {n: roles[n] for n in names if n in roles}
         low, high = bounds(pool, len(names) + len(others))
-        want = min(high, max(low, round(pool["prefill_share"] * (len(names) + len(others)))))
+        target = min(high, max(low, round(pool["prefill_share"] * (len(names) + len(others)))))
         count = sum(r == "prefill" for r in [*roles.values(), *(role for role, row in others.values())])
         for n in names:
             if n not in roles:
-                roles[n] = "prefill" if count < want else "decode"
+                roles[n] = "prefill" if count < target else "decode"
                 count += roles[n] == "prefill"
-        self.broken = self.broken + 1 if count < low or count > high else 0
-        if self.broken:
-            if self.broken > rank * constants.BOUND_REPAIR_DELAY_CHECKS:
-                self.move(roles, usage, "prefill" if count < low else "decode")
+        self.bound_broken_checks = self.bound_broken_checks + 1 if count < low or count > high else 0
+        if self.bound_broken_checks:
+            if self.bound_broken_checks > rank * constants.BOUND_REPAIR_DELAY_CHECKS:
+                self.move_one(roles, loads, "prefill" if count < low else "decode")
             return roles
         if rank:
             return roles
-        far = {n: role for n, (role, row) in others.items() if role != "none"}
-        lean = self.pressure_lean({**roles, **far}, {**usage, **{n: others[n][1] for n in far}}) if pool["shift"] else 0
-        costly = "engine" in pool  # a replica is away for seconds while it changes its part
-        if costly and not self.bearable({**roles, **far}, {**usage, **{n: others[n][1] for n in far}}, lean):
-            lean = 0
-        self.agreed = self.agreed + 1 if lean * self.lean > 0 else int(lean != 0)
-        self.lean = lean
-        agree, hold = (
+        other_roles = {n: role for n, (role, row) in others.items() if role != "none"}
+        direction = (
+            self.overload_direction({**roles, **other_roles}, {**loads, **{n: others[n][1] for n in other_roles}})
+            if pool["shift"]
+            else 0
+        )
+        slow_change = "engine" in pool  # a replica is away for seconds while it changes its part
+        if slow_change and not self.can_give_up(
+            {**roles, **other_roles}, {**loads, **{n: others[n][1] for n in other_roles}}, direction
+        ):
+            direction = 0
+        self.checks_in_direction = (
+            self.checks_in_direction + 1 if direction * self.direction > 0 else int(direction != 0)
+        )
+        self.direction = direction
+        checks_needed, min_interval_s = (
             (constants.MIN_URGENT_SHIFT_CHECKS, constants.MIN_URGENT_SHIFT_INTERVAL_S)
-            if abs(lean) > 1 and not costly
+            if abs(direction) > 1 and not slow_change
             else (
                 constants.MIN_SHIFT_CHECKS,
-                constants.MIN_ROLE_CHANGE_INTERVAL_S if costly else constants.MIN_SHIFT_INTERVAL_S,
+                constants.MIN_ROLE_CHANGE_INTERVAL_S if slow_change else constants.MIN_SHIFT_INTERVAL_S,
             )
         )
-        ready = self.agreed >= agree and self.now() - self.shifted_at > hold
-        room = high - count if lean > 0 else count - low
-        if ready and lean and room > 0:
-            self.shifted_at, self.agreed = self.now(), 0
-            everywhere = {**roles, **far}, {**usage, **{n: others[n][1] for n in far}}
-            for _ in range(self.shift_count(*everywhere, lean, room) if costly else 1):
-                self.move(roles, usage, "prefill" if lean > 0 else "decode")
+        ready = self.checks_in_direction >= checks_needed and self.now() - self.shifted_at > min_interval_s
+        allowed = high - count if direction > 0 else count - low
+        if ready and direction and allowed > 0:
+            self.shifted_at, self.checks_in_direction = self.now(), 0
+            pool_state = {**roles, **other_roles}, {**loads, **{n: others[n][1] for n in other_roles}}
+            for _ in range(self.shift_count(*pool_state, direction, allowed) if slow_change else 1):
+                self.move_one(roles, loads, "prefill" if direction > 0 else "decode")
         return roles
 
-    def shift_count(self, roles: dict[str, str], usage: dict[str, Load], lean: int, room: int) -> int:
-        """How many replicas to move at once: a share of the pool, as far as its bounds and the giving side bear."""
-        most = min(room, max(1, int(constants.MAX_ROLE_CHANGE_RATIO * len(roles))))
-        return max((n for n in range(2, most + 1) if self.bearable(roles, usage, lean, n)), default=1)
+    def shift_count(self, roles: dict[str, str], loads: dict[str, Load], direction: int, allowed: int) -> int:
+        """Return how many replicas to move at once: a share of the pool that its bounds and the giving side allow."""
+        most = min(allowed, max(1, int(constants.MAX_ROLE_CHANGE_RATIO * len(roles))))
+        return max((n for n in range(2, most + 1) if self.can_give_up(roles, loads, direction, n)), default=1)
 
-    def move(self, roles, usage, role):
-        givers = [n for n in roles if roles[n] != role]
-        if givers:
-            pick = min(givers, key=lambda n: (usage[n][0] + usage[n][1], n))
-            roles[pick] = role
+    def move_one(self, roles, loads, role):
+        candidates = [n for n in roles if roles[n] != role]
+        if candidates:
+            least_loaded = min(candidates, key=lambda n: (loads[n][0] + loads[n][1], n))
+            roles[least_loaded] = role
         return roles
 
-    def pressures(self, roles, usage):
+    def load_ratios(self, roles, loads):
         """role -> what its replicas bear, as a share of what they can bear."""
         side = {"prefill": [0, 0], "decode": [0, 0]}
-        for n, role in roles.items():
-            run, wait, slots = usage[n]
-            side[role][0] += run + 2 * wait
+        for name, role in roles.items():
+            running, waiting, slots = loads[name]
+            side[role][0] += running + 2 * waiting
             side[role][1] += slots
         return {r: busy / slots if slots else 0.0 for r, (busy, slots) in side.items()}
 
-    def bearable(self, roles: dict[str, str], usage: dict[str, Load], lean: int, fewer: int = 1) -> bool:
+    def can_give_up(self, roles: dict[str, str], loads: dict[str, Load], direction: int, count_moved: int = 1) -> bool:
         """Whether the side that gives some up still has room with so many fewer."""
-        giver = "decode" if lean > 0 else "prefill"
-        count = sum(role == giver for role in roles.values())
-        if count <= fewer:
+        giving_role = "decode" if direction > 0 else "prefill"
+        count = sum(role == giving_role for role in roles.values())
+        if count <= count_moved:
             return False
         return bool(
-            self.pressures(roles, usage)[giver] * count / (count - fewer) < constants.ROLE_CHANGE_MAX_LOAD_RATIO
+            self.load_ratios(roles, loads)[giving_role] * count / (count - count_moved)
+            < constants.ROLE_CHANGE_MAX_LOAD_RATIO
         )
 
-    def pressure_lean(self, roles, usage):
+    def overload_direction(self, roles, loads):
         """Above 0: prefill is the tighter side, below: decode, 0: neither; 2 is overloaded."""
-        press = self.pressures(roles, usage)
+        ratios = self.load_ratios(roles, loads)
         for sign, tight, other in ((1, "prefill", "decode"), (-1, "decode", "prefill")):
-            if press[tight] > max(constants.SHIFT_LOAD_RATIO, constants.SHIFT_IMBALANCE_RATIO * press[other]):
-                return 2 * sign if press[tight] > constants.URGENT_SHIFT_LOAD_RATIO else sign
+            if ratios[tight] > max(constants.SHIFT_LOAD_RATIO, constants.SHIFT_IMBALANCE_RATIO * ratios[other]):
+                return 2 * sign if ratios[tight] > constants.URGENT_SHIFT_LOAD_RATIO else sign
         return 0
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -38,7 +38,7 @@
     def __init__(self, pool, address):
         self.environment = Environment(pool, address)
         self.member_id, self.leader, self.last_contact, self.leads = address, "", 0.0, False
-        self.machine, self.leader_tasks = types.SimpleNamespace(leader_began=None), []
+        self.machine, self.leader_tasks = types.SimpleNamespace(leader_entry_applied=None), []
 
     def has_quorum(self):
         return self.leads
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -25,16 +25,16 @@
 
     def __init__(self, history):
         super().__init__(history)
-        self.leader_began = lambda: None
+        self.leader_entry_applied = lambda: None
 
     def apply(self, index, command):
         if command["op"] == "begin":
-            self.leader_began()
+            self.leader_entry_applied()
         return super().apply(index, command)
 
     def restore(self, state):
         super().restore(state)
-        self.leader_began()
+        self.leader_entry_applied()
 
 
 class Lease:
--- a/tests/test_decode_capacity.py
+++ b/tests/test_decode_capacity.py
@@ -108,13 +108,13 @@
     steep = {f"b{n}": replica_load.ReplicaLoad(requests=n, events=20, events_s=20 * 0.05 * n) for n in range(1, 9)}
     pool, duty = duty_with({**flat, **steep}, {name: name[0] for name in {**flat, **steep}})
     for _ in range(60):
-        duty.usage("a1", "decode", 12)
+        duty.split_load("a1", "decode", 12)
         pool.time += constants.LOAD_REPORT_INTERVAL_S + 0.01
         for sender, report in list(duty.reports.reports.items()):
             duty.reports.take(sender, report.loads)
-    assert duty.usage("a1", "decode", 12)[2] == 12
-    assert duty.usage("b1", "decode", 12)[2] < 6
-    assert duty.usage("a1", "prefill", 12)[2] == constants.PREFILL_FULL_QUEUE_S
+    assert duty.split_load("a1", "decode", 12)[2] == 12
+    assert duty.split_load("b1", "decode", 12)[2] < 6
+    assert duty.split_load("a1", "prefill", 12)[2] == constants.PREFILL_FULL_QUEUE_S
 
 
 def test_events_of_others_are_not_sent_to_routers():
@@ -127,4 +127,4 @@
 def test_too_few_events_tell_nothing():
     loads = {f"a{n}": replica_load.ReplicaLoad(requests=n, events=1, events_s=0.05) for n in range(1, 9)}
     _pool, duty = duty_with(loads, dict.fromkeys(loads, "a"))
-    assert duty.usage("a1", "decode", 12)[2] == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * 12)
+    assert duty.split_load("a1", "decode", 12)[2] == pytest.approx(constants.DECODE_FULL_SLOT_RATIO * 12)
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -27,7 +27,7 @@
 
     duty.order_role = order_role
     place_replica(group, duty)
-    duty.send("r-1", "http://r:1", "decode", duty.standing)
+    duty.send_order("r-1", "http://r:1", "decode", duty.fencing_token)
     return written
 
 
@@ -40,7 +40,7 @@
 
 
 def agree(group, role):
-    group.commit({"op": "roles", "standing": group.leader_tasks["A"].standing, "roles": {"r-1": role}, "gone": []})
+    group.commit({"op": "roles", "standing": group.leader_tasks["A"].fencing_token, "roles": {"r-1": role}, "gone": []})
 
 
 def wait(span):
@@ -126,9 +126,9 @@
     duty = group.leader_tasks["A"]
     duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
-    duty.shared_usage = types.SimpleNamespace(shifting={})
+    duty.load_task = types.SimpleNamespace(shifting={})
     duty.order_role = lambda environment, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
-    duty.order("r-1", "decode")
+    duty.start_order("r-1", "decode")
     assert written == ["decode"]
 
 
--- a/tests/test_order_turns.py
+++ b/tests/test_order_turns.py
@@ -17,12 +17,12 @@
 
     def __init__(self, group, member_id):
         self.group, self.member_id, self.duty = group, member_id, group.leader_tasks[member_id]
-        self.standing = self.duty.standing
-        self.passed = bool(self.duty.may(self.standing))
+        self.fencing_token = self.duty.fencing_token
+        self.passed = bool(self.duty.may_send(self.fencing_token))
 
     def write(self):
-        if self.passed and self.duty.may(self.standing):
-            self.group.arrived.append((self.group.pool.time, self.member_id, self.standing))
+        if self.passed and self.duty.may_send(self.fencing_token):
+            self.group.arrived.append((self.group.pool.time, self.member_id, self.fencing_token))
 
 
 ACTS = ["take over", "take over", "order", "order", "wait", "wait", "wait", "send", "write", "freeze", "thaw"]
@@ -72,4 +72,4 @@
     for span, may in ((gap - 0.01, False), (0.02, True)):
         group.pool.time += span
         group.seats["A"].renew()
-        assert bool(group.leader_tasks["A"].may(1)) == may
+        assert bool(group.leader_tasks["A"].may_send(1)) == may
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -21,7 +21,7 @@
 
     def __init__(self, pool):
         self.environment = all_orders.ManualEnvironment(pool, "keeper:1")
-        self.machine = types.SimpleNamespace(leader_began=None)
+        self.machine = types.SimpleNamespace(leader_entry_applied=None)
         self.leader_tasks, self.quorate, self.freeze_s = [], True, 0.0
         self.leader, self.member_id, self.last_contact = "", "K/1", 0.0
 
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -68,7 +68,7 @@
     speech = Speech()
     found = listed_replicas.ListedReplicas(seat.environment, "", journal.Journal(), None, lambda: [])
     found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
-    duty.replicas, duty.journal, duty.gives_roles, duty.says_standing = found, journal.Journal(), True, False
+    duty.replicas, duty.journal, duty.keeps_reported_roles, duty.announces_token = found, journal.Journal(), True, False
     duty.order_role, duty.speech = speech.order_role, speech
     duty.lease.pools = DOCUMENT["pools"]
     duty.environment.spawn = lambda call: call()
@@ -76,20 +76,20 @@
 
 
 def test_no_split_is_planned_and_no_order_sent_for_a_service_without_a_model(holder):
-    holder.look(DOCUMENT)  # agrees on roles
+    holder.plan_roles(DOCUMENT)  # agrees on roles
     assert sorted(holder.machine.roles) == [f"models{n}" for n in range(5)]
-    holder.look(DOCUMENT)  # sends what is missing
+    holder.plan_roles(DOCUMENT)  # sends what is missing
     assert sorted(holder.speech.ordered) == ["decode"] * 3 + ["prefill"] * 2
 
 
 def test_an_order_that_was_agreed_while_a_service_had_a_model_is_not_sent_once_it_has_none(holder):
     with_model = {**DOCUMENT["pools"]["slips"], "split": True}
     holder.lease.pools = {**DOCUMENT["pools"], "slips": with_model}
-    holder.look({"pools": holder.lease.pools})
-    assert "slips0" in holder.machine.roles and holder.still_wanted("slips0", holder.machine.roles["slips0"])
+    holder.plan_roles({"pools": holder.lease.pools})
+    assert "slips0" in holder.machine.roles and holder.order_still_valid("slips0", holder.machine.roles["slips0"])
     holder.lease.pools = DOCUMENT["pools"]
-    assert not holder.still_wanted("slips0", holder.machine.roles["slips0"])
-    assert holder.still_wanted("models0", holder.machine.roles["models0"])
+    assert not holder.order_still_valid("slips0", holder.machine.roles["slips0"])
+    assert holder.order_still_valid("models0", holder.machine.roles["models0"])
 
 
 @pytest.mark.parametrize("engine", [True, False])
--- a/tools/hollow/trials.py
+++ b/tools/hollow/trials.py
@@ -47,7 +47,7 @@
         "neighbours": sum(len(r.gossip.view) for r in routers) / size.routers,
         "routers counted": sum(len(r.gossip.routers) for r in routers) / size.routers,
         "leaseholders": len(fleet.leader().leader_tasks[0].holders),
-        "usage reports": max(len(d.shared_usage.reports) for k in keepers for d in k.leader_tasks[1:]),
+        "usage reports": max(len(d.load_task.reports) for k in keepers for d in k.leader_tasks[1:]),
         "asks at the leader": sum(n for (role, kind), n in books.sent.items() if kind == "ask") / SPAN,
         "grants of the leader": sum(n for (role, kind), n in books.sent.items() if kind == "grant") / SPAN,
         "appends": sum(n for (role, kind), n in books.sent.items() if kind in ("append", "append_say")) / SPAN,
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -63,7 +63,7 @@
 
 def take_level(self, index, command):
     if command["op"] == "take":
-        self.holder, self.standing = command["who"], 1
+        self.order_leader, self.fencing_token = command["who"], 1
         return {"standing": 1}
     return APPLY(self, index, command)
 
@@ -147,7 +147,7 @@
 
 
 ADMIT = carry.Carry.admit
-SHARED = orders.OrderTask.shared
+SHARED = orders.OrderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
 TAKE_LIST = replicas.Replicas.take_list
 PREFILL = replica_adapter.prefill
