--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -161,10 +161,10 @@
             for pool in document["pools"].values()
         )
 
-    def endpoint(self, name: str, url: str) -> replicas_module.Place:
+    def endpoint(self, name: str, url: str) -> replicas_module.Endpoint:
         """The replica that an order is meant for: whichever else has its address by then is not to take it."""
         known = self.replicas.conditions.get(name)
-        return replicas_module.Place(name, url, known["c"]["engine"] if known else name, "")
+        return replicas_module.Endpoint(name, url, known["c"]["engine"] if known else name, "")
 
     def send_order(self, name, url, role, fencing_token):
         accepted = False
--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -26,7 +26,7 @@
         self.chart = charts.load("request")
         self.fails = []
         self.ran = False  # some send of this request ran or may have
-        self.ask = replica_adapter.ask_of(request, self.environment.random)
+        self.ask = replica_adapter.unique_request_id(request, self.environment.random)
         self.sends = {"prefill": 0, "decode": 0}  # those written to a replica
         self.tries, self.number = 0, 0  # prefills begun; sends named
         self.without = set()
@@ -66,9 +66,9 @@
         if e.replica:
             self.without.add(e.replica)
             if e.verdict is NOT_RUN and e.reason.startswith("status 503"):
-                self.router.replicas.full(e.replica)
+                self.router.replicas.mark_full(e.replica)
             if e.reason.startswith(("NewConnection", "ConnectTimeout")):
-                self.router.replicas.doubt(e.replica)
+                self.router.replicas.suspect(e.replica)
         self.router.journal.add(
             "send_failed", outcome=e.verdict.value, replica=e.replica, reason=e.reason, request=self.request.id
         )
@@ -116,8 +116,8 @@
             if plan is None and self.without:
                 plan = planning.make(router.replicas, sequence, document, request, router.cell)
             if plan:
-                router.replicas.begin(plan.reader.name)
-                router.replicas.begin(plan.writer.name)
+                router.replicas.request_started(plan.reader.name)
+                router.replicas.request_started(plan.writer.name)
             return plan
 
         try:
@@ -135,14 +135,14 @@
         self.reading, self.writing = plan.reader.name, plan.writer.name
         try:
             self.prefill(plan)
-            replicas.end(self.reading)
+            replicas.request_ended(self.reading)
             self.reading = None
             self.router.admission.nudge()
             yield from self.relay(self.decode(plan))
         finally:
             for name in (self.reading, self.writing):
                 if name:
-                    replicas.end(name)
+                    replicas.request_ended(name)
             self.router.admission.nudge()
 
     def relay(self, parts):
--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -89,7 +89,7 @@
             self.reply.close()
         if self.pair:
             self.router.placing.read(self.pair)
-            self.router.replicas.end(self.pair.writer.name)
+            self.router.replicas.request_ended(self.pair.writer.name)
         self.handle = self.reply = self.pair = None
 
     def give_in(self, reason):
@@ -187,7 +187,7 @@
         if self.handle:  # the pull is done
             self.router.frees.order(self.handle)
             self.handle = None
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         self.router.placing.outcomes.answered(name)
         if self.ask.parts:
             self.router.placing.parts.add(name, self.ask.parts)
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -105,14 +105,14 @@
         if "Timeout" in e.reason and e.verdict is not NOT_RUN:
             self.environment.spawn(lambda: self.look(place))
         elif e.verdict is not NOT_RUN or e.reason.startswith(("NewConnection", "ConnectTimeout")):
-            self.router.replicas.failed(place.name)
+            self.router.replicas.mark_failed(place.name)
 
     def look(self, place):
         """A silent replica that still takes a connection is busy; one that does not is out."""
         try:
             self.environment.kept.look(place.url.removeprefix("http://"))
         except web.WebFault:
-            self.router.replicas.failed(place.name)
+            self.router.replicas.mark_failed(place.name)
 
     def prefill(self, pair):
         """The handle, or None when the writer shall read for itself."""
@@ -150,7 +150,7 @@
             self.router.placing.read(pair)
         self.router.placing.parts.add(name, self.ask.parts)
         self.router.placing.measured(name, unread, pair.queued, self.environment.now() - began)
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         return handle
 
     def patience_first(self):
--- a/mothshed/data_plane/frees.py
+++ b/mothshed/data_plane/frees.py
@@ -16,7 +16,7 @@
 class Frees:
     def __init__(self, environment, journal, free=None):
         self.environment, self.journal = environment, journal
-        self.free = free or replica_adapter.free
+        self.free = free or replica_adapter.release_handle
         self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
         self.late = []  # (due, pause, handle): failed once, tried again
         self.event = environment.new_event()
@@ -44,10 +44,10 @@
         except web.WebFault:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
-        if done or self.environment.now() - handle.born >= constants.HANDLE_RELEASE_TTL_S:
+        if done or self.environment.now() - handle.created_at >= constants.HANDLE_RELEASE_TTL_S:
             self.settled(handle)
         else:
             self.late.append((self.environment.now() + span, 2 * span, handle))
 
     def left(self):
-        return len(self.queue) + sum(row[2].heard for row in self.late)
+        return len(self.queue) + sum(row[2].confirmed for row in self.late)
--- a/mothshed/data_plane/intake.py
+++ b/mothshed/data_plane/intake.py
@@ -83,7 +83,7 @@
         safe == "true",
         path,
         own,
-        replica_adapter.prompt_of(path, body),
+        replica_adapter.prompt_text(path, body),
         body.get("stream", False),
         now,
         now + span,
--- a/mothshed/data_plane/load_reporter.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -26,10 +26,14 @@
         with self.replicas.lock:
             for name, row in self.replicas.rows.items():
                 part = found.setdefault(parts.part_of(row["service"]), {})
-                out = max(0.0, self.replicas.doubts.get(name, 0) - now) if name in self.replicas.fails else 0.0
+                out = (
+                    max(0.0, self.replicas.suspected_until.get(name, 0) - now)
+                    if name in self.replicas.consecutive_failures
+                    else 0.0
+                )
                 ended = self.placing.outcomes.of(name)
                 own = replica_load.ReplicaLoad(
-                    self.replicas.mine.get(name, 0),
+                    self.replicas.own_requests.get(name, 0),
                     out,
                     ended.answered,
                     ended.failed,
@@ -47,7 +51,7 @@
         for part, own in rows.items():
             self.mark += 1
             self.environment.send(
-                self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
+                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
             )
         busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
         self.environment.call_later(
@@ -55,5 +59,5 @@
         )
 
     def on_usages(self, sender, body):
-        self.leaders.heard(body["part"], sender)
+        self.leaders.note_response(body["part"], sender)
         self.placing.take_others(body["part"], replica_load.from_wire(body["rows"]))
--- a/mothshed/data_plane/pair.py
+++ b/mothshed/data_plane/pair.py
@@ -11,8 +11,8 @@
 
     sequence: int
     pool: str
-    reader: replicas.Place | None
-    writer: replicas.Place
+    reader: replicas.Endpoint | None
+    writer: replicas.Endpoint
     unread: float  # prompt tokens that the reader is expected to read
     expected: float  # s until the prompt is read
     queued: float = 0  # tokens already there to be read when it was placed
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -67,7 +67,7 @@
         self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # no life before used the same
         for part in self.parts:
             environment.subscribe("permits", self.on_permits, part)
-        leaders.changed.append(self.leader_changed)
+        leaders.listeners.append(self.leader_changed)
 
     def take(
         self, tenant: str, row: dict[str, typing.Any], sequence: int, until: float, caller: typing.Any = None
@@ -147,7 +147,7 @@
                 waiter.first_mark = waiter.first_mark or self.mark
         counts = {tenant: len(rows) for tenant, rows in asks.waiting.items()}
         self.environment.call_later(asks.again_s(), lambda mark=self.mark: self.ask_again(part, mark))
-        goal = self.leaders.ask(part)
+        goal = self.leaders.address_for(part)
         self.environment.send(goal, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts)
 
     def ask_again(self, part: int, mark: int) -> None:
@@ -166,7 +166,7 @@
     def on_permits(self, sender: str, body: Body) -> None:
         """The leader's answer."""
         part, mark = body["part"], body["mark"]
-        self.leaders.heard(part, sender)
+        self.leaders.note_response(part, sender)
         with self.lock:
             asks = self.parts[part]
             asked_at = asks.asked_at.pop(mark, None)
--- a/mothshed/data_plane/placing.py
+++ b/mothshed/data_plane/placing.py
@@ -48,12 +48,12 @@
         with self.lock:
             self.others[part] = (now, rows)
         for name, load in rows.items():
-            if load.out_s > constants.LOAD_REPORT_INTERVAL_S and name not in self.replicas.fails:
-                self.replicas.doubt(name, min(load.out_s, constants.MAX_EXCLUSION_S))
+            if load.out_s > constants.LOAD_REPORT_INTERVAL_S and name not in self.replicas.consecutive_failures:
+                self.replicas.suspect(name, min(load.out_s, constants.MAX_EXCLUSION_S))
 
     def running(self, name: str) -> float:
         """Requests that all routers have at a replica, as far as is known."""
-        return float(self.replicas.mine.get(name, 0) + sum(load.requests for load in self.reported(name)))
+        return float(self.replicas.own_requests.get(name, 0) + sum(load.requests for load in self.reported(name)))
 
     def being_read(self, name: str) -> float:
         """Prompt tokens that all routers have being read at a replica, as far as is known."""
@@ -217,23 +217,23 @@
             writers = [name for name in writers if name not in without] or list(writers)
             if not writers:
                 return
-            name = self.writer(writers, pair.reader.cell if pair.reader else self.zone)
-            self.replicas.end(pair.writer.name)
-            self.replicas.begin(name)
-            pair.writer = self.replicas.place(name)
+            name = self.writer(writers, pair.reader.zone if pair.reader else self.zone)
+            self.replicas.request_ended(pair.writer.name)
+            self.replicas.request_started(name)
+            pair.writer = self.replicas.endpoint(name)
 
     def take(
         self, sequence: int, pool: str, ask: Ask, reader: str | None, writer: str, unread: int, expected: float
     ) -> pair_module.Pair:
         """Take the places of a pair. expected: s until its prompt is read."""
-        self.replicas.begin(writer)
+        self.replicas.request_started(writer)
         if reader:
-            self.replicas.begin(reader)
+            self.replicas.request_started(reader)
         name = reader or writer
         queued, pace = self.being_read(name), self.pace(name) * (1.0 if reader else constants.DECODE_PREFILL_RATIO)
         rank = self.rank(ask, unread / pace)
         self.reading[name][rank] += unread
-        place = self.replicas.place
+        place = self.replicas.endpoint
         return pair_module.Pair(
             sequence, pool, place(reader) if reader else None, place(writer), unread, expected, queued, rank
         )
@@ -245,5 +245,5 @@
             self.reading[name][pair.rank] = max(0, self.reading[name][pair.rank] - pair.unread)
             pair.unread = 0
             if pair.reader and not pair.done:
-                self.replicas.end(name)
+                self.replicas.request_ended(name)
                 pair.done = True
--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -40,9 +40,9 @@
         cell,
         readers,
         writers,
-        {n: replicas.usage(n) for n in both},
+        {n: replicas.estimated_load(n) for n in both},
         {n: replicas.rows[n]["cell"] for n in both},
-        {n for n in both if replicas.room(n)},
+        {n for n in both if replicas.has_room(n)},
     )
 
 
@@ -56,7 +56,7 @@
         reader, writer = pairing.POLICIES[rule["policy"]](scene)
         if reader is None or writer is None:
             return None
-        return Plan(sequence, rule["pool"], rule["policy"], replicas.place(reader), replicas.place(writer))
+        return Plan(sequence, rule["pool"], rule["policy"], replicas.endpoint(reader), replicas.endpoint(writer))
 
 
 def writer_again(replicas, document, request, cell, without):
@@ -67,7 +67,7 @@
     with replicas.lock:
         scene = scene_for(replicas, document, rule, request, cell, without)
         writer = pairing.least(scene, scene.writers)
-        return replicas.place(writer) if writer else None
+        return replicas.endpoint(writer) if writer else None
 
 
 def still_fits(replicas, document, request, place):
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -43,14 +43,14 @@
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
-        self.replicas.sharers = self.gossip.count_routers
+        self.replicas.router_count = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
         self.admission = admission.Admission(environment)
         self.budget = budget.Budget(
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
-        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
+        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).release_handle)
         self.placing = placing.Placing(environment, self.replicas, self.cell)
         self.tables = routes.Tables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -109,7 +109,7 @@
         replicas, request = self.router.replicas, self.request
         until = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
         for name in (self.reading, self.writing):
-            replicas.end(name)
+            replicas.request_ended(name)
         self.reading = self.writing = None
         while True:
             self.stop_if_caller_left()
@@ -119,8 +119,8 @@
                     plan.sequence, plan.pool, plan.policy = sequence, fresh.pool, fresh.policy
                     plan.reader, plan.writer = fresh.reader, fresh.writer
                     self.reading, self.writing = plan.reader.name, plan.writer.name
-                    replicas.begin(self.reading)
-                    replicas.begin(self.writing)
+                    replicas.request_started(self.reading)
+                    replicas.request_started(self.writing)
                     return
             if self.environment.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
@@ -143,7 +143,7 @@
                 )
                 break
             except verdict.SendFailure as e:
-                doubt = replica_adapter.unheard(self.environment, name, plan.reader)
+                doubt = replica_adapter.unconfirmed_handle(self.environment, name, plan.reader)
                 if e.verdict is NOT_RUN:
                     self.router.guard.paid(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
@@ -156,7 +156,7 @@
     def decode(self, plan):
         """Decodes the handle, elsewhere if bounced; returns the stream begun."""
         replicas, rejected = self.router.replicas, set()
-        until = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
+        until = min(self.request.cutoff, self.handle.created_at + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
         while True:
             sequence, document = self.sequence()
             if plan.writer is None or not planning.still_fits(replicas, document, self.request, plan.writer):
@@ -168,9 +168,9 @@
                     with self.router.held_wait():
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
-                replicas.end(self.writing)
+                replicas.request_ended(self.writing)
                 plan.writer, self.writing = writer, writer.name
-                replicas.begin(self.writing)
+                replicas.request_started(self.writing)
                 if self.router.lease.sequence() != sequence:
                     continue
             self.chart.step("decode")
@@ -205,6 +205,6 @@
         try:
             row = next(rows)
         except StopIteration:
-            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.place.name) from None
+            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.endpoint.name) from None
         self.let_go()
         return stream, row, rows
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -20,13 +20,13 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Place:
+class Endpoint:
     """A replica as a goal of a send."""
 
     name: str
     url: str
     engine: str
-    cell: str
+    zone: str
 
 
 def selects(selector: dict[str, str], labels: dict[str, str]) -> bool:
@@ -43,33 +43,35 @@
         self.environment, self.list_url, self.journal = environment, list_url, journal
         self.rows = {}  # name -> row of the platform's list
         self.conditions = {}  # name -> {"at", "own", "c"}
-        self.marks = {}  # name -> when a neighbour's list showed it leaving
-        self.mine = {}  # name -> sends of ours running there
-        self.doubts = {}  # name -> until when a failed connect keeps us away
+        self.leaving_marks = {}  # name -> when a neighbour's list showed it leaving
+        self.own_requests = {}  # name -> sends of ours running there
+        self.suspected_until = {}  # name -> until when a failed connect keeps us away
         self.lock = threading.RLock()
-        self.sharers = lambda: 1  # how many routers place upon the same replicas
-        self.probing, self.silent = set(), {}  # under way / failed in a row
-        self.list_at = -1e9  # last reading of the list
-        self.tried_at = -1e9  # last time it was asked, answered or not
+        self.router_count = lambda: 1  # how many routers place upon the same replicas
+        self.probing, self.failed_probes = set(), {}  # under way / failed in a row
+        self.list_read_at = -1e9  # last reading of the list
+        self.list_attempted_at = -1e9  # last time it was asked, answered or not
 
     def run(self):
-        self.environment.spawn(self.read_lists)
-        self.environment.spawn(self.probe_all)
+        self.environment.spawn(self.poll_list)
+        self.environment.spawn(self.poll_conditions)
 
-    def read_lists(self):
+    def poll_list(self):
         while True:
             try:
-                self.take_list(platform_list.read(self.environment, self.list_url))
+                self.update_list(platform_list.read(self.environment, self.list_url))
             except web.WebFault as e:
                 self.journal.add("list", outcome="failed", reason=str(e))
-            self.tried_at = self.environment.now()
+            self.list_attempted_at = self.environment.now()
             self.environment.sleep(constants.LIST_POLL_INTERVAL_S)
 
-    def take_list(self, rows):
+    def update_list(self, rows):
         now = self.environment.now()
         with self.lock:
-            self.rows, self.list_at = rows, now
-            self.marks = {n: at for n, at in self.marks.items() if at > now - constants.LEAVING_MARK_TTL_S}
+            self.rows, self.list_read_at = rows, now
+            self.leaving_marks = {
+                n: at for n, at in self.leaving_marks.items() if at > now - constants.LEAVING_MARK_TTL_S
+            }
             for name in [n for n in self.conditions if n not in rows]:
                 del self.conditions[name]
 
@@ -77,9 +79,11 @@
         """Names not to be placed upon: shown leaving here, or to a neighbour about as lately."""
         with self.lock:
             own = {n for n, row in self.rows.items() if row["leaving"]}
-            return own | {n for n, at in self.marks.items() if at > self.list_at - constants.LEAVING_MARK_TTL_S}
+            return own | {
+                n for n, at in self.leaving_marks.items() if at > self.list_read_at - constants.LEAVING_MARK_TTL_S
+            }
 
-    def probe_all(self):
+    def poll_conditions(self):
         while True:
             now = self.environment.now()
             for name, row in list(self.rows.items()):
@@ -90,19 +94,19 @@
             self.environment.sleep(constants.PROBE_INTERVAL_S / 2)
 
     def probe(self, name, url):
-        own, at = self.mine.get(name, 0), self.environment.now()
+        own, at = self.own_requests.get(name, 0), self.environment.now()
         try:
-            self.take_condition(name, at, own, replica_adapter.condition(self.environment, url))
-            self.silent.pop(name, None)
+            self.update_condition(name, at, own, replica_adapter.condition(self.environment, url))
+            self.failed_probes.pop(name, None)
         except web.WebFault as e:
             self.journal.add("probe", outcome="failed", replica=name, reason=str(e))
-            self.silent[name] = self.silent.get(name, 0) + 1
-            if self.silent[name] >= constants.MAX_FAILED_PROBES:
-                self.doubt(name)
+            self.failed_probes[name] = self.failed_probes.get(name, 0) + 1
+            if self.failed_probes[name] >= constants.MAX_FAILED_PROBES:
+                self.suspect(name)
         finally:
             self.probing.discard(name)
 
-    def take_condition(self, name, at, own, said):
+    def update_condition(self, name, at, own, said):
         with self.lock:
             seen = self.conditions.get(name)
             if name in self.rows and (not seen or seen["at"] < at):
@@ -114,7 +118,9 @@
             return [
                 {
                     "leaving": n,
-                    "age": round(now - (self.list_at if self.rows.get(n, {}).get("leaving") else self.marks[n]), 3),
+                    "age": round(
+                        now - (self.list_read_at if self.rows.get(n, {}).get("leaving") else self.leaving_marks[n]), 3
+                    ),
                 }
                 for n in sorted(self.leaving())
             ]
@@ -131,22 +137,22 @@
         self.environment.random.shuffle(rows)
         return gone + rows
 
-    def take_hint(self, hint):
+    def apply_hint(self, hint):
         at = self.environment.now() - max(0.0, hint["age"])
         if "leaving" in hint:
             with self.lock:
-                self.marks[hint["leaving"]] = max(at, self.marks.get(hint["leaving"], at))
+                self.leaving_marks[hint["leaving"]] = max(at, self.leaving_marks.get(hint["leaving"], at))
         else:
             name = hint["replica"]
-            self.take_condition(name, at, self.mine.get(name, 0), hint["c"])
+            self.update_condition(name, at, self.own_requests.get(name, 0), hint["c"])
 
-    def doubt(self, name, span=constants.SUSPECT_DURATION_S):
-        self.doubts[name] = self.environment.now() + span
+    def suspect(self, name, duration_s=constants.SUSPECT_DURATION_S):
+        self.suspected_until[name] = self.environment.now() + duration_s
 
     def usable(self, selector, role=None):
         """name -> condition of the listed, staying, lately heard replicas under a selector."""
         now, found = self.environment.now(), {}
-        if now - self.tried_at > constants.LIST_ATTEMPT_MAX_AGE_S:
+        if now - self.list_attempted_at > constants.LIST_ATTEMPT_MAX_AGE_S:
             return found
         with self.lock:
             leaving = self.leaving()
@@ -156,7 +162,7 @@
                     name in leaving
                     or not seen
                     or now - seen["at"] > constants.REPLICA_STATUS_TTL_S
-                    or self.doubts.get(name, 0) > now
+                    or self.suspected_until.get(name, 0) > now
                     or role
                     and seen["c"]["role"] != role
                 ):
@@ -165,13 +171,13 @@
                     found[name] = seen["c"]
             return found
 
-    def usage(self, name):
+    def estimated_load(self, name):
         """Estimated requests at a replica, waiting ones included."""
         seen = self.conditions[name]
         others = max(0, seen["c"]["run"] + seen["c"]["wait"] - seen["own"])
-        return others + self.mine.get(name, 0)
+        return others + self.own_requests.get(name, 0)
 
-    def room(self, name):
+    def has_room(self, name):
         """Whether one more of ours fits there.
 
         Between two reports a router takes no more than its share of the free places
@@ -182,24 +188,24 @@
         c = seen["c"]
         free = max(0, c["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - c["run"] - c["wait"])
         if "share" not in seen:
-            share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.sharers())
+            share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.router_count())
             seen["share"] = int(share) + (self.environment.random.random() < share % 1)
-        return self.mine.get(name, 0) - seen["own"] < min(seen["share"], free)
+        return self.own_requests.get(name, 0) - seen["own"] < min(seen["share"], free)
 
-    def full(self, name):
+    def mark_full(self, name):
         """It bounced us: nothing more of ours goes there until it reports again."""
         with self.lock:
             if name in self.conditions:
                 self.conditions[name]["share"] = -math.inf
 
-    def begin(self, name):
+    def request_started(self, name):
         with self.lock:
-            self.mine[name] = self.mine.get(name, 0) + 1
+            self.own_requests[name] = self.own_requests.get(name, 0) + 1
 
-    def end(self, name):
+    def request_ended(self, name):
         with self.lock:
-            self.mine[name] = max(0, self.mine.get(name, 0) - 1)
+            self.own_requests[name] = max(0, self.own_requests.get(name, 0) - 1)
 
-    def place(self, name):
+    def endpoint(self, name):
         row = self.rows[name]
-        return Place(name, row["url"], self.conditions[name]["c"]["engine"], row["cell"])
+        return Endpoint(name, row["url"], self.conditions[name]["c"]["engine"], row["cell"])
--- a/mothshed/replicas/listed_replicas.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -19,55 +19,61 @@
         super().__init__(environment, list_url, journal)
         self.speech = speech
         self.leaders = leaders.Leaders(environment, keepers)
-        self.fails = {}  # name -> failures in a row
+        self.consecutive_failures = {}  # name -> failures in a row
         self.number = 0  # of the list's news that is held
         self.fresh_at = (
             environment.now() + constants.LIST_MAX_AGE_S * environment.random.random()
         )  # when the list held was read
         self.reading = False
-        self.silent, self.ask_span = constants.LIST_MAX_AGE_S, constants.LIST_REQUEST_INTERVAL_S
-        environment.subscribe("list_news", self.on_news, constants.LIST_READER_PART)
+        self.max_list_age, self.request_interval = constants.LIST_MAX_AGE_S, constants.LIST_REQUEST_INTERVAL_S
+        environment.subscribe("list_news", self.on_list_news, constants.LIST_READER_PART)
 
     def run(self):
         self.environment.post(self.tick)
 
     def tick(self):
-        goal = self.leaders.ask(constants.LIST_READER_PART)
-        self.environment.send(goal, "list_ask", part=constants.LIST_READER_PART, number=self.number)
-        if self.environment.now() - self.fresh_at > self.silent and not self.reading:
+        destination = self.leaders.address_for(constants.LIST_READER_PART)
+        self.environment.send(destination, "list_ask", part=constants.LIST_READER_PART, number=self.number)
+        if self.environment.now() - self.fresh_at > self.max_list_age and not self.reading:
             self.reading = True
             self.environment.spawn(self.read_list)
-        self.environment.call_later(self.next_ask() * (0.9 + 0.2 * self.environment.random.random()), self.tick)
+        self.environment.call_later(
+            self.next_request_delay() * (0.9 + 0.2 * self.environment.random.random()), self.tick
+        )
 
-    def next_ask(self) -> float:
+    def next_request_delay(self) -> float:
         """Seconds until the reader of the list is asked again: soon while no list is here, since nobody is served."""
-        return self.ask_span if self.rows else min(self.ask_span, constants.INITIAL_LIST_REQUEST_INTERVAL_S)
+        return (
+            self.request_interval
+            if self.rows
+            else min(self.request_interval, constants.INITIAL_LIST_REQUEST_INTERVAL_S)
+        )
 
-    def on_news(self, sender, body):
+    def on_list_news(self, sender, body):
         """What changed in the list, from the one that reads it for all."""
-        self.leaders.heard(constants.LIST_READER_PART, sender)
+        self.leaders.note_response(constants.LIST_READER_PART, sender)
         if not body["whole"] and body["held"] != self.number:
             return  # a piece is missing: the next ask says what is held
         rows = {} if body["whole"] else {n: r for n, r in self.rows.items() if n not in body["gone"]}
         self.number = body["number"]
-        self.take_list({**rows, **body["rows"]})
-        self.fresh_at = self.list_at = self.environment.now() - max(0.0, body["age"])
+        self.update_list({**rows, **body["rows"]})
+        self.fresh_at = self.list_read_at = self.environment.now() - max(0.0, body["age"])
 
     def read_list(self):
         """No news, or old news: the list is read here."""
-        began = self.environment.now()
+        started_at = self.environment.now()
         try:
             rows = self.speech.rows(self.environment, self.list_url)
-            self.take_list(rows)
-            self.number, self.fresh_at = 0, began
+            self.update_list(rows)
+            self.number, self.fresh_at = 0, started_at
         except web.WebFault as e:
             self.journal.add("list", outcome="failed", reason=str(e))
             self.fresh_at += constants.LIST_REQUEST_INTERVAL_S * self.environment.random.random()
         finally:
             self.reading = False
 
-    def take_list(self, rows):
-        super().take_list(rows)
+    def update_list(self, rows):
+        super().update_list(rows)
         now = self.environment.now()
         with self.lock:
             for name, row in rows.items():
@@ -77,14 +83,14 @@
                     "c": {
                         "engine": name,
                         "role": row["role"],
-                        "run": self.mine.get(name, 0),
+                        "run": self.own_requests.get(name, 0),
                         "wait": 0,
                         "slots": row["slots"],
                         "keys": [],
                         "standing": 0,
                     },
                 }
-            self.fails = {n: c for n, c in self.fails.items() if n in rows}
+            self.consecutive_failures = {n: c for n, c in self.consecutive_failures.items() if n in rows}
 
     def hints(self):
         """Only who is leaving: what replicas bear is told to one holder, not from neighbour to neighbour."""
@@ -95,24 +101,24 @@
         with self.lock:
             leaving = self.leaving()
             for name, row in self.rows.items():
-                if name in leaving or self.doubts.get(name, 0) > now or role and row["role"] != role:
+                if name in leaving or self.suspected_until.get(name, 0) > now or role and row["role"] != role:
                     continue
                 if replicas.selects(selector, row["labels"]):
                     found[name] = self.conditions[name]["c"]
         return found
 
-    def room(self, name):
+    def has_room(self, name):
         row = self.rows.get(name)
-        return row is not None and self.mine.get(name, 0) < row["slots"]
+        return row is not None and self.own_requests.get(name, 0) < row["slots"]
 
-    def failed(self, name):
+    def mark_failed(self, name):
         """A send there failed without proof that the replica is well."""
         with self.lock:
-            count = self.fails[name] = self.fails.get(name, 0) + 1
-        self.doubt(
+            count = self.consecutive_failures[name] = self.consecutive_failures.get(name, 0) + 1
+        self.suspect(
             name,
             min(constants.MAX_EXCLUSION_S, constants.MIN_EXCLUSION_S * constants.EXCLUSION_GROWTH_RATIO ** (count - 1)),
         )
 
-    def served(self, name):
-        self.fails.pop(name, None)
+    def mark_succeeded(self, name):
+        self.consecutive_failures.pop(name, None)
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -1,11 +1,9 @@
-"""The one place that knows the replicas' outside formats.
-
-Requests follow the OpenAI-style completions API with vLLM's kv_transfer_params,
-as DESIGN and the paper name them: prefill with max_tokens=1, stream=false and
-do_remote_decode; decode with the handle that came back. Condition, role and free
-calls are the small endpoints a replica of ours offers beside it. Whatever a
-replica says is checked before it is believed: request id, engine id, whole body,
-whole stream. Nothing of these formats is known elsewhere.
+"""The request and response formats of replicas; no other module knows them.
+
+Requests follow the OpenAI-style completions API with vLLM's kv_transfer_params: a prefill has max_tokens=1,
+stream=false and do_remote_decode, a decode carries the handle that the prefill returned. The endpoints for
+condition, role and handle release are additions of this project's replicas. Every response is checked before it
+is used: request id, engine id, complete body, complete stream.
 """
 
 import dataclasses
@@ -26,11 +24,11 @@
     address: str
     engine: str
     params: dict
-    born: float
-    heard: bool = True  # False: no whole handle came back, yet blocks may be held
+    created_at: float
+    confirmed: bool = True  # False: no whole handle came back, yet blocks may be held
 
 
-def prompt_of(path, body):
+def prompt_text(path, body):
     if path == "/v1/chat/completions":
         return "\n".join(f"{m['role']}: {m['content']}" for m in body["messages"])
     return body["prompt"]
@@ -51,30 +49,30 @@
     return keys
 
 
-def ask_of(request, chance):
+def unique_request_id(request, random):
     """A name for one ask, whatever id its user agent gave it and how often."""
-    return f"{request.id[:96]}.{chance.getrandbits(48):012x}"
+    return f"{request.id[:96]}.{random.getrandbits(48):012x}"
 
 
-def headers_of(request, name, sequence, left):
+def request_headers(request, name, sequence, remaining_s):
     return {
         "x-request-id": name,
         "x-caller-request-id": request.id,
         "x-config-sequence": str(sequence),
-        "x-cutoff-ms": str(int(left * 1000)),
+        "x-cutoff-ms": str(int(remaining_s * 1000)),
     }
 
 
-def ids_of(name):
+def completion_ids(name):
     return f"cmpl-{name}", f"chatcmpl-{name}"
 
 
-def fail_of(error, replica):
+def send_failure(error, replica):
     kind = verdict.Verdict.MAY_HAVE_RUN if error.sent else verdict.Verdict.NOT_RUN
     return verdict.SendFailure(kind, str(error), replica)
 
 
-def bad_status(response, replica):
+def status_failure(response, replica):
     """A status that is not 200: not_run only when the replica itself says so."""
     try:
         error = response.body().get("error", {})
@@ -88,7 +86,7 @@
     )
 
 
-def prefill(environment, request, name, place, sequence, left, ready):
+def prefill(environment, request, name, endpoint, sequence, remaining_s, ready):
     """Orders the prefill under the send's name; returns the Handle, its one token is discarded.
 
     ready() is asked once the connection stands, right before the send.
@@ -100,46 +98,48 @@
         "kv_transfer_params": {"do_remote_decode": True, "do_remote_prefill": False},
     }
     body.pop("stream_options", None)
-    born = environment.now()
+    created_at = environment.now()
     try:
         response = environment.web.send(
             "POST",
-            place.url + request.path,
+            endpoint.url + request.path,
             body,
-            headers_of(request, name, sequence, left),
-            read=left,
+            request_headers(request, name, sequence, remaining_s),
+            read=remaining_s,
             ready=ready,
             cancellation=request.caller.cancellation,
         )
         if response.status != 200:
-            raise bad_status(response, place.name)
+            raise status_failure(response, endpoint.name)
         said = response.body()
         params = said["kv_transfer_params"]
         needed = [params[k] for k in ("remote_engine_id", "remote_block_ids", "remote_host", "remote_port")]
-        if params["remote_request_id"] != name or said["id"] not in ids_of(name):
+        if params["remote_request_id"] != name or said["id"] not in completion_ids(name):
             raise ValueError("handle of another request")
         if not all(isinstance(n, (str, int, list)) and n != "" for n in needed):
             raise ValueError("handle not whole")
-        if place.engine and params["remote_engine_id"] != place.engine:
+        if endpoint.engine and params["remote_engine_id"] != endpoint.engine:
             raise ValueError("handle of another engine")
     except web.WebFault as e:
-        raise fail_of(e, place.name) from e
+        raise send_failure(e, endpoint.name) from e
     except (KeyError, TypeError, ValueError) as e:
-        raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"prefill answer: {e!r}", place.name) from e
-    return Handle(name, place.name, place.url, params["remote_engine_id"], params, born)
+        raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"prefill answer: {e!r}", endpoint.name) from e
+    return Handle(name, endpoint.name, endpoint.url, params["remote_engine_id"], params, created_at)
 
 
-def unheard(environment, name, place):
+def unconfirmed_handle(environment, name, endpoint):
     """A handle for what a prefill without a whole answer may hold."""
-    return Handle(name, place.name, place.url, place.engine, {"remote_block_ids": []}, environment.now(), False)
+    return Handle(
+        name, endpoint.name, endpoint.url, endpoint.engine, {"remote_block_ids": []}, environment.now(), False
+    )
 
 
-def decode(environment, request, name, place, handle, sequence, left, ready):
+def decode(environment, request, name, endpoint, handle, sequence, remaining_s, ready):
     """Orders the decode; returns an iterator of (text, finish reason) that ends only when whole."""
     if handle.request.rsplit(".", 1)[0] != name.rsplit(".", 1)[0]:
-        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", place.name, handle_lost=True)
-    if environment.now() - handle.born > constants.HANDLE_TTL_S:
-        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", place.name, handle_lost=True)
+        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", endpoint.name, handle_lost=True)
+    if environment.now() - handle.created_at > constants.HANDLE_TTL_S:
+        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", endpoint.name, handle_lost=True)
     body = {
         **request.body,
         "stream": True,
@@ -149,32 +149,32 @@
     try:
         response = environment.web.send(
             "POST",
-            place.url + request.path,
+            endpoint.url + request.path,
             body,
-            headers_of(request, name, sequence, left),
-            read=min(left, constants.STREAM_IDLE_TIMEOUT_S),
+            request_headers(request, name, sequence, remaining_s),
+            read=min(remaining_s, constants.STREAM_IDLE_TIMEOUT_S),
             ready=ready,
             cancellation=request.caller.cancellation,
         )
         if response.status != 200:
-            raise bad_status(response, place.name)
+            raise status_failure(response, endpoint.name)
     except web.WebFault as e:
-        raise fail_of(e, place.name) from e
-    return Stream(environment, name, place, response, left)
+        raise send_failure(e, endpoint.name) from e
+    return Stream(environment, name, endpoint, response, remaining_s)
 
 
 class Stream:
     """The decode replica's tokens. Iterating raises SendFailure unless the end was whole."""
 
-    def __init__(self, environment, name, place, response, left):
-        self.environment, self.name, self.place, self.response = environment, name, place, response
-        self.until = environment.now() + left
+    def __init__(self, environment, name, endpoint, response, remaining_s):
+        self.environment, self.name, self.endpoint, self.response = environment, name, endpoint, response
+        self.deadline = environment.now() + remaining_s
 
     def __iter__(self):
         finish, done = None, False
         try:
             for line in self.response.lines():
-                if self.environment.now() > self.until:
+                if self.environment.now() > self.deadline:
                     raise ValueError("cutoff passed")
                 line = line.strip()
                 if not line:
@@ -189,14 +189,14 @@
             if not (done and finish):
                 raise ValueError("stream ended before its end")
         except web.WebFault as e:
-            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.place.name) from e
+            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.endpoint.name) from e
         except (KeyError, IndexError, TypeError, ValueError) as e:
-            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"stream: {e!r}", self.place.name) from e
+            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"stream: {e!r}", self.endpoint.name) from e
 
     def read(self, chunk, finish):
         if "error" in chunk:
             raise ValueError(f"error after 200: {chunk['error']}")
-        if chunk["id"] not in ids_of(self.name):
+        if chunk["id"] not in completion_ids(self.name):
             raise ValueError("chunk of another request")
         if finish:
             raise ValueError("chunk after the finish")
@@ -210,7 +210,7 @@
         self.response.close()
 
 
-def free(environment, handle):
+def release_handle(environment, handle):
     """Orders the free; True once the replica holds the blocks no more.
 
     "Not held" ends the matter for a handle that came back; for one that never did
@@ -220,7 +220,7 @@
     status, said = environment.web.poll(
         "POST", handle.address + "/kv/free", body, read=constants.HANDLE_RELEASE_TIMEOUT_S
     )
-    return status == 200 or status == 404 and handle.heard
+    return status == 200 or status == 404 and handle.confirmed
 
 
 def condition(environment, url):
@@ -241,10 +241,10 @@
         raise web.WebFault(f"condition: {e!r}", True) from e
 
 
-def order_role(environment, place, role, standing, holder, sequence, ready=lambda: True):
+def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready=lambda: True):
     """Orders a role under a standing: True when the replica took it. ready() is the last check before the write."""
-    body = {"role": role, "standing": standing, "holder": holder, "sequence": sequence}
-    response = environment.web.send("POST", place.url + "/role", body, read=constants.ORDER_TIMEOUT_S, ready=ready)
+    body = {"role": role, "standing": fencing_token, "holder": leader_id, "sequence": sequence}
+    response = environment.web.send("POST", endpoint.url + "/role", body, read=constants.ORDER_TIMEOUT_S, ready=ready)
     status = response.status
     response.body()
     return status == 200
--- a/mothshed/transport/gossip.py
+++ b/mothshed/transport/gossip.py
@@ -105,7 +105,7 @@
             at = self.environment.now() - max(0.0, hint["age"])
             self.keeps[hint["keep"]] = max(at, self.keeps.get(hint["keep"], at))
         elif self.replicas:
-            self.replicas.take_hint(hint)
+            self.replicas.apply_hint(hint)
 
     def near_routers(self):
         return sorted(a for a, row in dict(self.view).items() if row["kind"] == "route")
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -98,7 +98,10 @@
     host, (reader, writer) = service(site, "pd")
     writer.always = {"silent": True}
     leave_while_it_is_silent(site, Caller(site, host), writer)
-    assert writer.name not in site.router.replicas.fails and writer.name not in site.router.replicas.doubts
+    assert (
+        writer.name not in site.router.replicas.consecutive_failures
+        and writer.name not in site.router.replicas.suspected_until
+    )
 
 
 def test_who_leaves_while_no_place_is_free_is_sent_nowhere(site, monkeypatch):
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -37,7 +37,7 @@
     pool = all_orders.Pool()
     environment = all_orders.ManualEnvironment(pool, "r:1")
     found = listed_replicas.ListedReplicas(environment, "", journal.Journal(), None, lambda: [])
-    found.take_list(
+    found.update_list(
         {
             n: {
                 "url": f"http://{n}",
@@ -113,7 +113,7 @@
     for _ in range(3):
         one.read(pair)
     assert (one.running("p1"), one.being_read("p1"), one.running("d1")) == (0, 0, 1)
-    one.replicas.end("d1")
+    one.replicas.request_ended("d1")
     assert one.running("d1") == 0
 
 
@@ -125,7 +125,10 @@
     with pytest.raises(pair_module.Full) as full:
         one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]))
     assert abs(full.value.span - 0.1) < 0.01
-    assert (one.replicas.mine.get("p1", 0), one.replicas.mine.get("d1", 0)) == (0, 0)  # no place was taken
+    assert (one.replicas.own_requests.get("p1", 0), one.replicas.own_requests.get("d1", 0)) == (
+        0,
+        0,
+    )  # no place was taken
     assert one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)], aim=2.0)).reader.name == "p1"
     assert one.pair(1, DOCUMENT, "main", ask(2000, [("own", 2000)])).reader.name == "p1"  # short ones go before
 
@@ -135,7 +138,7 @@
     one.take_others(1, {n: usage(8) for n in ("d1", "d2")})
     with pytest.raises(pair_module.Full):
         one.pair(1, DOCUMENT, "main", ask())
-    assert not any(one.replicas.mine.values()) and one.being_read("p1") == 0
+    assert not any(one.replicas.own_requests.values()) and one.being_read("p1") == 0
     one.take_others(1, {"d1": usage(8), "d2": usage(7)})
     assert names(one.pair(1, DOCUMENT, "main", ask())) == ("p1", "d2")
 
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -38,7 +38,7 @@
 def test_it_is_asked_for_soon_until_it_is_here(process):
     process.listed.tick()
     assert process.environment.delay <= 1.1 * constants.INITIAL_LIST_REQUEST_INTERVAL_S
-    process.listed.on_news("b:1", news(d1={**ROW, "role": "decode", "slots": 8}))
+    process.listed.on_list_news("b:1", news(d1={**ROW, "role": "decode", "slots": 8}))
     process.listed.tick()
     assert process.environment.delay >= 0.9 * constants.LIST_REQUEST_INTERVAL_S
 
@@ -52,7 +52,7 @@
             if kind == "list_ask" and goal == "b:1":
                 process.listed.leaders.on_look_elsewhere("b:1", {"part": 1, "leader": "c:1"})
             if kind == "list_ask" and goal == "c:1":
-                process.listed.on_news("c:1", news(**replicas))
+                process.listed.on_list_news("c:1", news(**replicas))
         process.pool.waiting.clear()
         waited += process.environment.delay
         process.pool.time += process.environment.delay
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -21,10 +21,12 @@
 
 
 def read(found, leaving=()):
-    found.take_list({n: {"url": "", "cell": "z", "service": "s", "labels": {}, "leaving": n in leaving} for n in NAMES})
-    found.tried_at = found.environment.now()
+    found.update_list(
+        {n: {"url": "", "cell": "z", "service": "s", "labels": {}, "leaving": n in leaving} for n in NAMES}
+    )
+    found.list_attempted_at = found.environment.now()
     for n in NAMES:
-        found.take_condition(n, found.environment.now(), 0, SAID)
+        found.update_condition(n, found.environment.now(), 0, SAID)
 
 
 def test_a_leaving_hint_passes_a_full_record_and_outlasts_older_readings():
@@ -54,9 +56,9 @@
     read(found)
     pool.time += constants.LIST_ATTEMPT_MAX_AGE_S + 0.1
     for n in NAMES:
-        found.take_condition(n, pool.time, 0, SAID)
+        found.update_condition(n, pool.time, 0, SAID)
     assert found.usable({}) == {}
-    found.tried_at = pool.time
+    found.list_attempted_at = pool.time
     assert len(found.usable({})) == len(NAMES)
 
 
--- a/tests/test_leaving_writer.py
+++ b/tests/test_leaving_writer.py
@@ -39,7 +39,7 @@
     assert (answer.status, answer.body) == (200, platform_site.pieces())
     assert [len(replica.asked) for replica in (reader, *writers)] == [1, 0, 1]
     assert writers[1].asked[0].get("Cache-From") and len(taken) == 2
-    platform_site.until(lambda: not any(site.router.replicas.mine.values()))
+    platform_site.until(lambda: not any(site.router.replicas.own_requests.values()))
 
 
 def test_with_no_other_writer_the_request_is_refused_and_its_handle_freed(site):
@@ -47,4 +47,4 @@
     leave_during_prefill(site, reader, writer)
     own, answer = site.ask(host)
     assert answer.status == 503 and writer.asked == [] and site.platform.ran(own) == []
-    platform_site.until(lambda: reader.held == {} and not any(site.router.replicas.mine.values()))
+    platform_site.until(lambda: reader.held == {} and not any(site.router.replicas.own_requests.values()))
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -66,7 +66,7 @@
     }
     assert "d1" not in chosen  # though it has the least running
     pool.time += constants.LOAD_TTL_S + 0.1
-    one.replicas.mine.clear()
+    one.replicas.own_requests.clear()
     assert one.not_failing(["d1", "d2"]) == ["d1", "d2"]
 
 
--- a/tests/test_permit_faults.py
+++ b/tests/test_permit_faults.py
@@ -43,7 +43,7 @@
         raise KeyError("keeper:9")
 
     with monkeypatch.context() as patched:
-        patched.setattr(router.leaders, "ask", fail)
+        patched.setattr(router.leaders, "address_for", fail)
         with pytest.raises(KeyError):
             router.enter()
     assert router.asks() == []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -229,14 +229,14 @@
 def test_an_order_whose_answer_has_no_body_counts_by_its_status(site, status, taken):
     host, (replica,) = site.service("p")
     replica.order_status = status
-    place = site.router.replicas.place(replica.name)
+    place = site.router.replicas.endpoint(replica.name)
     assert site.router.speech.order_role(site.environment, place, "decode", 41, "k1", 3) == taken
     assert replica.orders == [{"order": "leg", "leg": "decode", "bearer": "k1", "fence_no": 41}]
 
 
 def test_one_an_order_is_not_taken_by_another_replica_that_has_the_address_now(site):
     host, (replica,) = site.service("p")
-    place = site.router.replicas.place(replica.name)
+    place = site.router.replicas.endpoint(replica.name)
     replica.name = "i-another"  # a new life, perhaps of another service, before the list shows it
     assert not site.router.speech.order_role(site.environment, place, "decode", 41, "k1", 3)
     assert replica.orders == []
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -67,7 +67,7 @@
     duty, seat = group.leader_tasks["A"], group.seats["A"]
     speech = Speech()
     found = listed_replicas.ListedReplicas(seat.environment, "", journal.Journal(), None, lambda: [])
-    found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
+    found.update_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
     duty.replicas, duty.journal, duty.keeps_reported_roles, duty.announces_token = found, journal.Journal(), True, False
     duty.order_role, duty.speech = speech.order_role, speech
     duty.lease.pools = DOCUMENT["pools"]
@@ -169,8 +169,8 @@
     assert sorted(taken) == ["r1", "r1", "r2", "r2", "r3", "r3"]
     with pytest.raises(pair_module.Full):
         one.pair(1, document, "plain", test_delivery_placing.ask(0, ()))
-    assert sum(one.replicas.mine.values()) == 6
-    one.replicas.end("r2")
+    assert sum(one.replicas.own_requests.values()) == 6
+    one.replicas.request_ended("r2")
     assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
 
 
--- a/tools/hollow/fleet.py
+++ b/tools/hollow/fleet.py
@@ -88,13 +88,13 @@
 
     def draw(self, router):
         """Sets what this router has running, as many requests as the size says."""
-        router.replicas.mine = design.running(self.size, self.chance, self.readers, self.writers)
+        router.replicas.own_requests = design.running(self.size, self.chance, self.readers, self.writers)
         for name in list(router.placing.reading):
             router.placing.reading[name] = [0] * constants.PREFILL_RANK_COUNT
         for name in self.readers:
-            if name in router.replicas.mine:
+            if name in router.replicas.own_requests:
                 router.placing.reading[name] = [
-                    4000 * router.replicas.mine[name],
+                    4000 * router.replicas.own_requests[name],
                     *[0] * (constants.PREFILL_RANK_COUNT - 1),
                 ]
         self.loop.at(DRAW_BEAT, None, lambda: self.draw(router))
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -229,6 +229,6 @@
     def place():
         pair = router.placing.pair(sequence, document, design.model(7), ask)
         router.placing.read(pair)
-        router.replicas.end(pair.writer.name)
+        router.replicas.request_ended(pair.writer.name)
 
     return {"request": whole, "placing": spent(place), "answered": count[0] > 0}
--- a/tools/hollow/real.py
+++ b/tools/hollow/real.py
@@ -53,7 +53,7 @@
     served = condition_of()
     size = design.Size(replicas=replicas, tenants=tenants)
     rows = design.rows(size)
-    router.replicas.take_list(rows)
+    router.replicas.update_list(rows)
     listed = condition_of()
     text = json.dumps(design.document(size))
     for sequence in (1, 2):  # the one in force and one that is staged
--- a/tools/hollow/speech.py
+++ b/tools/hollow/speech.py
@@ -31,7 +31,7 @@
             "after": None,
         }
 
-    def free(self, environment, handle):
+    def release_handle(self, environment, handle):
         return True
 
     def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
--- a/tools/stand_in_replica.py
+++ b/tools/stand_in_replica.py
@@ -121,7 +121,7 @@
 
     def prompt(self, path, body):
         """Give the prompt of either form of request."""
-        return replica_memory.replica_adapter.prompt_of(path, body)
+        return replica_memory.replica_adapter.prompt_text(path, body)
 
     def prefill(self, path, request, body, sequence, start):
         """Read the prompt and answer with the handle of its exported memory."""
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -103,7 +103,7 @@
         "orders fenced",
     ),
     "a leaving replica is left alone": (
-        weakened.put(replicas.Replicas, take_list=weakened.deaf_to_leaving),
+        weakened.put(replicas.Replicas, update_list=weakened.deaf_to_leaving),
         "leaving",
         "leaving",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -131,7 +131,7 @@
     handle = PREFILL(environment, request, name, place, sequence, left, ready)
     KEPT.append(handle)
     other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
-    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.born)
+    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.created_at)
 
 
 def loose_ends(self):
@@ -149,7 +149,7 @@
 ADMIT = carry.Carry.admit
 SHARED = orders.OrderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
-TAKE_LIST = replicas.Replicas.take_list
+TAKE_LIST = replicas.Replicas.update_list
 PREFILL = replica_adapter.prefill
 ITER = replica_adapter.Stream.__iter__
 KEPT = []
