--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -10,17 +10,17 @@
 import mothshed.data_plane.budget as budget
 import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
+import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
-import mothshed.data_plane.usage_share as usage_share
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.leaders as leaders
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.counters as counters
@@ -36,25 +36,27 @@
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
+            listed_replicas.ListedReplicas(
+                environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers()
+            )
             if speech
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
-        self.replicas.sharers = self.gossip.count_routers
+        self.replicas.router_count = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
         self.admission = admission.Admission(environment)
         self.budget = budget.Budget(
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
-        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
+        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).release_handle)
         self.placing = placing.Placing(environment, self.replicas, self.cell)
         self.tables = routes.Tables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
+            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placing)
         self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
@@ -89,12 +91,12 @@
             self.flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
+        """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
         until = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
         return self.lease.current()
 
     def drain(self, most):
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -38,7 +38,7 @@
     def __init__(self, pool, address):
         self.environment = Environment(pool, address)
         self.member_id, self.leader, self.last_contact, self.leads = address, "", 0.0, False
-        self.machine, self.leader_tasks = types.SimpleNamespace(leader_began=None), []
+        self.machine, self.leader_tasks = types.SimpleNamespace(leader_entry_applied=None), []
 
     def has_quorum(self):
         return self.leads
@@ -88,7 +88,7 @@
 
     def duty(self, seat):
         lease = types.SimpleNamespace(current=lambda: (1, {"tenants": {TENANT: {"rate_per_s": RATE, "burst": BURST}}}))
-        return permit_duty.PermitDuty(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        return permit_duty.PermitTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def boot_router(self):
         self.pool.ears[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -6,11 +6,11 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.usage_duty as usage_duty
+import mothshed.control_plane.load_task as load_task
 import mothshed.data_plane.pair as pair_module
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.prompt_parts as prompt_parts
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_load as replica_load
 import mothshed.runtime.journal as journal
 import tests.all_orders as all_orders
@@ -36,8 +36,8 @@
     """Placing over replicas p1, p2 .. and d1, d2 ..; with the pool that moves its time."""
     pool = all_orders.Pool()
     environment = all_orders.ManualEnvironment(pool, "r:1")
-    found = listed.Listed(environment, "", journal.Journal(), None, lambda: [])
-    found.take_list(
+    found = listed_replicas.ListedReplicas(environment, "", journal.Journal(), None, lambda: [])
+    found.update_list(
         {
             n: {
                 "url": f"http://{n}",
@@ -113,7 +113,7 @@
     for _ in range(3):
         one.read(pair)
     assert (one.running("p1"), one.being_read("p1"), one.running("d1")) == (0, 0, 1)
-    one.replicas.end("d1")
+    one.replicas.request_ended("d1")
     assert one.running("d1") == 0
 
 
@@ -125,7 +125,10 @@
     with pytest.raises(pair_module.Full) as full:
         one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]))
     assert abs(full.value.span - 0.1) < 0.01
-    assert (one.replicas.mine.get("p1", 0), one.replicas.mine.get("d1", 0)) == (0, 0)  # no place was taken
+    assert (one.replicas.own_requests.get("p1", 0), one.replicas.own_requests.get("d1", 0)) == (
+        0,
+        0,
+    )  # no place was taken
     assert one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)], aim=2.0)).reader.name == "p1"
     assert one.pair(1, DOCUMENT, "main", ask(2000, [("own", 2000)])).reader.name == "p1"  # short ones go before
 
@@ -135,7 +138,7 @@
     one.take_others(1, {n: usage(8) for n in ("d1", "d2")})
     with pytest.raises(pair_module.Full):
         one.pair(1, DOCUMENT, "main", ask())
-    assert not any(one.replicas.mine.values()) and one.being_read("p1") == 0
+    assert not any(one.replicas.own_requests.values()) and one.being_read("p1") == 0
     one.take_others(1, {"d1": usage(8), "d2": usage(7)})
     assert names(one.pair(1, DOCUMENT, "main", ask())) == ("p1", "d2")
 
@@ -185,7 +188,7 @@
 def test_sums_leave_out_the_asker_the_old_and_what_an_order_no_longer_keeps_away():
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = usage_duty.UsageDuty(member)
+    duty = load_task.LoadTask(member)
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire({"d1": usage(2, 0.5, [1, 0, 10])})})
     duty.on_usage(
         "r:2",
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -21,7 +21,7 @@
 
     def __init__(self, pool):
         self.environment = all_orders.ManualEnvironment(pool, "keeper:1")
-        self.machine = types.SimpleNamespace(leader_began=None)
+        self.machine = types.SimpleNamespace(leader_entry_applied=None)
         self.leader_tasks, self.quorate, self.freeze_s = [], True, 0.0
         self.leader, self.member_id, self.last_contact = "", "K/1", 0.0
 
@@ -39,7 +39,7 @@
         self.seat = Seat(self.pool)
         self.sequence, self.tenants = 1, {"a": ROW}
         lease = types.SimpleNamespace(current=lambda: (self.sequence, {"tenants": self.tenants}))
-        self.duty = permit_duty.PermitDuty(self.seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        self.duty = permit_duty.PermitTask(self.seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def put(self, **tenants):
         """A newer document with these tenants."""
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -103,7 +103,7 @@
         "orders fenced",
     ),
     "a leaving replica is left alone": (
-        weakened.put(replicas.Replicas, take_list=weakened.deaf_to_leaving),
+        weakened.put(replicas.Replicas, update_list=weakened.deaf_to_leaving),
         "leaving",
         "leaving",
     ),
@@ -156,7 +156,7 @@
         "new after ack",
     ),
     "a pool's bounds hold over its parts": (
-        weakened.put(orders.OrderDuty, shared=weakened.alone),
+        weakened.put(orders.OrderTask, pool_replicas=weakened.alone),
         "small_pool_renamed",
         "pool whole",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -34,7 +34,7 @@
 
 def repeat_unsafe(self, e):
     if self.chart.state == "relaying":
-        raise verdict.StreamBroken(str(e)) from e
+        raise verdict.StreamInterrupted(str(e)) from e
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.end()
 
@@ -63,7 +63,7 @@
 
 def take_level(self, index, command):
     if command["op"] == "take":
-        self.holder, self.standing = command["who"], 1
+        self.order_leader, self.fencing_token = command["who"], 1
         return {"standing": 1}
     return APPLY(self, index, command)
 
@@ -131,7 +131,7 @@
     handle = PREFILL(environment, request, name, place, sequence, left, ready)
     KEPT.append(handle)
     other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
-    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.born)
+    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.created_at)
 
 
 def loose_ends(self):
@@ -147,9 +147,9 @@
 
 
 ADMIT = carry.Carry.admit
-SHARED = orders.OrderDuty.shared
+SHARED = orders.OrderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
-TAKE_LIST = replicas.Replicas.take_list
+TAKE_LIST = replicas.Replicas.update_list
 PREFILL = replica_adapter.prefill
 ITER = replica_adapter.Stream.__iter__
 KEPT = []
