--- a/mothshed/configuration/document.py
+++ b/mothshed/configuration/document.py
@@ -11,9 +11,9 @@
 that is `anonymous`. `check` returns every fault with
 its path, so that an operator mends all of them at once.
 
->>> faults({"model": 3})[0]
+>>> validation_errors({"model": 3})[0]
 'kinds: required key not provided'
->>> faults(EXAMPLE)
+>>> validation_errors(EXAMPLE)
 []
 """
 
@@ -25,7 +25,7 @@
 
 POLICIES = ("least_usage", "prefix_affinity")
 NAME = voluptuous.All(str, voluptuous.Length(min=1, max=100))
-WHOLE = voluptuous.All(int, voluptuous.Range(min=0, max=10000))
+NON_NEGATIVE_INTEGER = voluptuous.All(int, voluptuous.Range(min=0, max=10000))
 SECONDS = voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0.05, max=60))
 LABELS = voluptuous.Any({}, {NAME: NAME})
 
@@ -43,14 +43,14 @@
 TENANT = {
     "share": voluptuous.All(int, voluptuous.Range(min=1, max=100)),
     voluptuous.Optional("keys"): [tenant_keys.DIGEST],
-    voluptuous.Optional("urgency"): WHOLE,
+    voluptuous.Optional("urgency"): NON_NEGATIVE_INTEGER,
     voluptuous.Optional("rate_per_s"): RATE,
     voluptuous.Optional("burst"): RATE,
 }
 POOL = {
     "selector": LABELS,
-    voluptuous.Optional("least_prefill", default=1): WHOLE,
-    voluptuous.Optional("least_decode", default=1): WHOLE,
+    voluptuous.Optional("least_prefill", default=1): NON_NEGATIVE_INTEGER,
+    voluptuous.Optional("least_decode", default=1): NON_NEGATIVE_INTEGER,
     voluptuous.Optional("shift", default=True): bool,
     voluptuous.Optional("split", default=True): bool,
     voluptuous.Optional("prefill_share", default=0.4): voluptuous.All(
@@ -65,27 +65,31 @@
     voluptuous.Optional("prefill"): LABELS,
     voluptuous.Optional("decode"): LABELS,
 }
-PLACE = voluptuous.All(str, voluptuous.Length(min=1, max=1000))
-SPAN = voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0, min_included=False, max=86400))
-COUNT = voluptuous.All(int, voluptuous.Range(min=1, max=1000000000))
-SHARED = {"pool": NAME, "share": voluptuous.All(int, voluptuous.Range(min=0, max=1000000))}
+HOST_OR_PREFIX = voluptuous.All(str, voluptuous.Length(min=1, max=1000))
+DURATION_S = voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0, min_included=False, max=86400))
+POSITIVE_INTEGER = voluptuous.All(int, voluptuous.Range(min=1, max=1000000000))
+POOL_SHARE = {"pool": NAME, "share": voluptuous.All(int, voluptuous.Range(min=0, max=1000000))}
 ROUTE = {
     "name": NAME,
-    "host": PLACE,
-    "prefix": voluptuous.All(PLACE, voluptuous.Match(r"^/(.*/)?$")),
+    "host": HOST_OR_PREFIX,
+    "prefix": voluptuous.All(HOST_OR_PREFIX, voluptuous.Match(r"^/(.*/)?$")),
     "kind": voluptuous.In(("safe", "unsafe", "stream")),
-    "pools": voluptuous.All([SHARED], voluptuous.Length(min=1)),
-    "cutoff_s": SPAN,
-    voluptuous.Optional("aim_s"): SPAN,
-    voluptuous.Optional("pause_s"): SPAN,
-    voluptuous.Optional("tries", default=1): COUNT,
-    voluptuous.Optional("urgency", default=5): WHOLE,
+    "pools": voluptuous.All([POOL_SHARE], voluptuous.Length(min=1)),
+    "cutoff_s": DURATION_S,
+    voluptuous.Optional("aim_s"): DURATION_S,
+    voluptuous.Optional("pause_s"): DURATION_S,
+    voluptuous.Optional("tries", default=1): POSITIVE_INTEGER,
+    voluptuous.Optional("urgency", default=5): NON_NEGATIVE_INTEGER,
     voluptuous.Optional("resumable", default=False): bool,
     voluptuous.Optional("anonymous"): bool,
 }
-ENGINE = {"memory_tokens": COUNT, "handle_life_s": SPAN, voluptuous.Optional("slots"): COUNT}
-LIMITS = {voluptuous.Optional(k): COUNT for k in ("head_bytes", "body_bytes")}
-LIMITS.update({voluptuous.Optional(k): SPAN for k in ("head_s", "idle_s")})
+ENGINE = {
+    "memory_tokens": POSITIVE_INTEGER,
+    "handle_life_s": DURATION_S,
+    voluptuous.Optional("slots"): POSITIVE_INTEGER,
+}
+LIMITS = {voluptuous.Optional(k): POSITIVE_INTEGER for k in ("head_bytes", "body_bytes")}
+LIMITS.update({voluptuous.Optional(k): DURATION_S for k in ("head_s", "idle_s")})
 POOL[voluptuous.Optional("engine")] = ENGINE
 DOCUMENT = voluptuous.Schema(
     {
@@ -112,45 +116,45 @@
 }
 
 
-def path_of(error):
+def error_path(error):
     return ".".join(str(p) for p in error.path) or "document"
 
 
-def faults(document):
+def validation_errors(document):
     """Every fault as 'path: what is wrong'; an empty list means valid."""
     try:
         DOCUMENT(document)
-    except voluptuous.MultipleInvalid as many:
-        return sorted(f"{path_of(e)}: {e.error_message}" for e in many.errors)
-    found = []
-    for at, row in enumerate(document["pairings"]):
+    except voluptuous.MultipleInvalid as invalid:
+        return sorted(f"{error_path(error)}: {error.error_message}" for error in invalid.errors)
+    errors = []
+    for index, row in enumerate(document["pairings"]):
         if row["pool"] not in document["pools"]:
-            found.append(f"pairings.{at}.pool: no pool is named {row['pool']!r}")
-        for word, table in (("kinds", "kinds"), ("tenants", "tenants")):
-            for name in row.get(word, []):
+            errors.append(f"pairings.{index}.pool: no pool is named {row['pool']!r}")
+        for field, table in (("kinds", "kinds"), ("tenants", "tenants")):
+            for name in row.get(field, []):
                 if name not in document[table]:
-                    found.append(f"pairings.{at}.{word}: {table} has no {name!r}")
-    return found + route_faults(document) + tenant_keys.shared_key_faults(document["tenants"])
+                    errors.append(f"pairings.{index}.{field}: {table} has no {name!r}")
+    return errors + route_errors(document) + tenant_keys.shared_key_errors(document["tenants"])
 
 
-def route_faults(document):
+def route_errors(document):
     """Faults that no single entry shows: unknown pools, shares without weight, two routes in one place."""
-    found, seen = [], {}
-    for at, row in enumerate(document.get("routes", [])):
-        found += [
-            f"routes.{at}.pools: no pool is named {p['pool']!r}"
+    errors, seen = [], {}
+    for index, row in enumerate(document.get("routes", [])):
+        errors += [
+            f"routes.{index}.pools: no pool is named {p['pool']!r}"
             for p in row["pools"]
             if p["pool"] not in document["pools"]
         ]
         if not sum(p["share"] for p in row["pools"]):
-            found.append(f"routes.{at}.pools: the shares add up to 0")
-        place = (row["host"].lower(), row["prefix"])
-        if place in seen:
-            found.append(f"routes.{at}: host and prefix are those of routes.{seen[place]}")
-        seen.setdefault(place, at)
-    return found
+            errors.append(f"routes.{index}.pools: the shares add up to 0")
+        host_and_prefix = (row["host"].lower(), row["prefix"])
+        if host_and_prefix in seen:
+            errors.append(f"routes.{index}: host and prefix are those of routes.{seen[host_and_prefix]}")
+        seen.setdefault(host_and_prefix, index)
+    return errors
 
 
-def full(document):
+def with_defaults(document):
     """The document with defaults filled in."""
     return DOCUMENT(document)
--- a/mothshed/configuration/document_difference.py
+++ b/mothshed/configuration/document_difference.py
@@ -11,7 +11,7 @@
 >>> change = difference(base, newer)
 >>> change
 {'put': {'pools': {'new': {}}}, 'removed': {'pools': ['old']}, 'whole': {'model': 'b'}}
->>> applied(base, change) == newer, applied(base, change)["routes"] is base["routes"]
+>>> apply_difference(base, change) == newer, apply_difference(base, change)["routes"] is base["routes"]
 (True, True)
 """
 
@@ -27,17 +27,17 @@
 NAMED_SECTIONS = frozenset({"tenants", "pools", "routes"})
 
 
-class DifferenceFault(Exception):
+class DifferenceError(Exception):
     """A difference that does not fit the document it is applied to."""
 
 
 def difference(base: Document, newer: Document) -> Difference:
-    """What `applied` needs to make the newer document of the base."""
+    """What `apply_difference` needs to make the newer document of the base."""
     put: dict[str, Section] = {}
     removed: dict[str, list[str]] = {}
     whole: dict[str, Section] = {}
     for section, value in newer.items():
-        if section in base and alike(base[section], value):
+        if section in base and same_json(base[section], value):
             continue
         items = _items_changed(section, base.get(section), value)
         if items is None:
@@ -54,29 +54,29 @@
         "gone": [section for section in base if section not in newer],
     }
     change = {part: value for part, value in change.items() if value}
-    if list(applied(base, change)) != list(newer):
+    if list(apply_difference(base, change)) != list(newer):
         change["order"] = list(newer)
     return change
 
 
-def applied(base: Document, change: Difference) -> Document:
-    """The newer document; the base stays as it is. Raises DifferenceFault if the difference does not fit."""
+def apply_difference(base: Document, change: Difference) -> Document:
+    """The newer document; the base stays as it is. Raises DifferenceError if the difference does not fit."""
     result = dict(base)
     try:
-        fields = document_change.Change(
+        named_changes = document_change.Change(
             {section: _put_section(rows) for section, rows in change.get("put", {}).items()},
             change.get("removed", {}),
         )
-        result = document_change.applied(result, fields)
+        result = document_change.apply_change(result, named_changes)
         result.update(change.get("whole", {}))
         for section in change.get("gone", ()):
             del result[section]
         return {section: result[section] for section in change.get("order", result)}
-    except (document_change.ChangeFault, AttributeError, KeyError, TypeError) as error:
-        raise DifferenceFault(f"it does not fit: {error!r}") from error
+    except (document_change.ChangeError, AttributeError, KeyError, TypeError) as error:
+        raise DifferenceError(f"it does not fit: {error!r}") from error
 
 
-def alike(one: Section, other: Section) -> bool:
+def same_json(one: Section, other: Section) -> bool:
     """Whether two JSON values are the same, down to the order of names and the kind of each number."""
     return one is other or json.dumps(one) == json.dumps(other)
 
@@ -87,14 +87,14 @@
     return document_change.PutSection(rows, False)
 
 
-def _items_changed(section: str, former: Section, value: Section) -> tuple[Section, list[str]] | None:
+def _items_changed(section: str, previous: Section, value: Section) -> tuple[Section, list[str]] | None:
     """The items to put and the names to remove; None if the section has to be sent whole."""
-    if section not in NAMED_SECTIONS or type(former) is not type(value):
+    if section not in NAMED_SECTIONS or type(previous) is not type(value):
         return None
-    old, new = _by_name(former), _by_name(value)
+    old, new = _by_name(previous), _by_name(value)
     if old is None or new is None:
         return None
-    put = {name: item for name, item in new.items() if name not in old or not alike(old[name], item)}
+    put = {name: item for name, item in new.items() if name not in old or not same_json(old[name], item)}
     removed = [name for name in old if name not in new]
     if list(new) != _order_after(old, put, removed):
         return None
--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -156,8 +156,8 @@
         known = received.get(base) or self.docs.get(base) or self.former.get(base)
         try:
             if known is not None:
-                return document_difference.applied(known, change)
-        except document_difference.DifferenceFault as fault:
+                return document_difference.apply_difference(known, change)
+        except document_difference.DifferenceError as fault:
             log_buffer.failure("change_does_not_fit", fault, base=base)
         log_buffer.note("change_not_taken", base=base, active=self.active, staged=self.staged)
         self.takes_changes = False
--- a/mothshed/configuration/manifests.py
+++ b/mothshed/configuration/manifests.py
@@ -11,23 +11,23 @@
 import mothshed.configuration.document as configuration
 
 
-class ManifestFault(Exception):
+class ManifestError(Exception):
     """Every fault of a manifest, each with its place."""
 
-    def __init__(self, found):
-        super().__init__("\n".join(found))
-        self.found = found
+    def __init__(self, errors):
+        super().__init__("\n".join(errors))
+        self.errors = errors
 
 
 NAME = configuration.NAME
-META = {"name": NAME}
+METADATA = {"name": NAME}
 HEADER = {
     voluptuous.Optional("type", default="Exact"): "Exact",
     "name": voluptuous.In(["x-kind", "x-tenant"]),
     "value": NAME,
 }
 MATCH = {"headers": voluptuous.All([HEADER], voluptuous.Length(min=1))}
-REF = {"kind": "InferencePool", "name": NAME}
+BACKEND_REF = {"kind": "InferencePool", "name": NAME}
 FILTER = {
     "type": "ExtensionRef",
     "extensionRef": {"kind": "PairingPolicy", "name": voluptuous.In(configuration.POLICIES)},
@@ -35,32 +35,39 @@
 RULE = {
     voluptuous.Optional("matches", default=[]): [MATCH],
     voluptuous.Optional("filters", default=[]): voluptuous.All([FILTER], voluptuous.Length(max=1)),
-    "backendRefs": voluptuous.All([REF], voluptuous.Length(min=1, max=1)),
+    "backendRefs": voluptuous.All([BACKEND_REF], voluptuous.Length(min=1, max=1)),
 }
-GATEWAY, POOL, OWN = "gateway.networking.k8s.io/v1", "inference.networking.k8s.io/v1", "mothshed/v1"
+GATEWAY_API, INFERENCE_API, MOTHSHED_API = (
+    "gateway.networking.k8s.io/v1",
+    "inference.networking.k8s.io/v1",
+    "mothshed/v1",
+)
 
 
-def schema(group, kind, spec):
-    return voluptuous.Schema({"apiVersion": group, "kind": kind, "metadata": META, "spec": spec}, required=True)
+def schema(api_version, kind, spec):
+    return voluptuous.Schema(
+        {"apiVersion": api_version, "kind": kind, "metadata": METADATA, "spec": spec}, required=True
+    )
 
 
 SCHEMAS = {
     "Gateway": schema(
-        GATEWAY,
+        GATEWAY_API,
         "Gateway",
         {
             "listeners": voluptuous.All(
-                [{"name": NAME, "protocol": "HTTP", "port": configuration.WHOLE}], voluptuous.Length(min=1, max=1)
+                [{"name": NAME, "protocol": "HTTP", "port": configuration.NON_NEGATIVE_INTEGER}],
+                voluptuous.Length(min=1, max=1),
             )
         },
     ),
     "HTTPRoute": schema(
-        GATEWAY,
+        GATEWAY_API,
         "HTTPRoute",
-        {voluptuous.Optional("parentRefs"): [META], "rules": voluptuous.All([RULE], voluptuous.Length(min=1))},
+        {voluptuous.Optional("parentRefs"): [METADATA], "rules": voluptuous.All([RULE], voluptuous.Length(min=1))},
     ),
     "InferencePool": schema(
-        POOL,
+        INFERENCE_API,
         "InferencePool",
         {
             "selector": {"matchLabels": configuration.LABELS},
@@ -68,7 +75,7 @@
         },
     ),
     "MothshedModel": schema(
-        OWN,
+        MOTHSHED_API,
         "MothshedModel",
         {"model": NAME, "kinds": {NAME: configuration.KIND}, "tenants": {NAME: configuration.TENANT}},
     ),
@@ -76,31 +83,34 @@
 
 
 def translate(text):
-    """The configuration document of a manifest. Raises ManifestFault."""
+    """The configuration document of a manifest. Raises ManifestError."""
     try:
         items = [item for item in yaml.safe_load_all(text) if item is not None]
-    except yaml.YAMLError as e:
-        raise ManifestFault([" ".join(str(e).split())]) from e
-    found, by = [], {kind: [] for kind in SCHEMAS}
-    for at, item in enumerate(items):
+    except yaml.YAMLError as error:
+        raise ManifestError([" ".join(str(error).split())]) from error
+    errors, by_kind = [], {kind: [] for kind in SCHEMAS}
+    for index, item in enumerate(items):
         kind = item.get("kind") if isinstance(item, dict) else None
         if kind not in SCHEMAS:
-            found.append(f"object {at}: kind {kind!r} is not supported; there are {', '.join(SCHEMAS)}")
+            errors.append(f"object {index}: kind {kind!r} is not supported; there are {', '.join(SCHEMAS)}")
             continue
         try:
-            by[kind].append(SCHEMAS[kind](item))
-        except voluptuous.MultipleInvalid as many:
-            found += [f"object {at} ({kind}): {configuration.path_of(e)}: {e.error_message}" for e in many.errors]
-    if not found and len(by["MothshedModel"]) != 1:
-        found.append(f"expected one MothshedModel, found {len(by['MothshedModel'])}")
-    if found:
-        raise ManifestFault(found)
-    model = by["MothshedModel"][0]["spec"]
+            by_kind[kind].append(SCHEMAS[kind](item))
+        except voluptuous.MultipleInvalid as invalid:
+            errors += [
+                f"object {index} ({kind}): {configuration.error_path(error)}: {error.error_message}"
+                for error in invalid.errors
+            ]
+    if not errors and len(by_kind["MothshedModel"]) != 1:
+        errors.append(f"expected one MothshedModel, found {len(by_kind['MothshedModel'])}")
+    if errors:
+        raise ManifestError(errors)
+    model = by_kind["MothshedModel"][0]["spec"]
     pools = {}
-    for item in by["InferencePool"]:
+    for item in by_kind["InferencePool"]:
         spec = dict(item["spec"])
         pools[item["metadata"]["name"]] = {"selector": spec.pop("selector")["matchLabels"], **spec}
-    rules = [rule for item in by["HTTPRoute"] for rule in item["spec"]["rules"]]
+    rules = [rule for item in by_kind["HTTPRoute"] for rule in item["spec"]["rules"]]
     document = {
         "model": model["model"],
         "kinds": model["kinds"],
@@ -108,9 +118,9 @@
         "pools": pools,
         "pairings": [pairing for rule in rules for pairing in pairings(rule)],
     }
-    found = configuration.faults(document)
-    if found:
-        raise ManifestFault(found)
+    errors = configuration.validation_errors(document)
+    if errors:
+        raise ManifestError(errors)
     return document
 
 
--- a/mothshed/configuration/settings.py
+++ b/mothshed/configuration/settings.py
@@ -5,7 +5,7 @@
 processes and the platform's list; a keeper also its data folder and, if they are
 not the seeds, the first members of its groups; none if the groups were born long ago.
 
->>> faults({"name": "r1"})[0]
+>>> validation_errors({"name": "r1"})[0]
 'address: required key not provided'
 """
 
@@ -18,24 +18,24 @@
 import mothshed.configuration.document as configuration
 
 
-class SettingsFault(Exception):
+class SettingsError(Exception):
     """Settings with faults, each with its path."""
 
-    def __init__(self, found):
-        super().__init__("\n".join(found))
-        self.found = found
+    def __init__(self, errors):
+        super().__init__("\n".join(errors))
+        self.errors = errors
 
 
-def address(text):
+def ip_and_port(text):
     if not isinstance(text, str) or ":" not in text:
         raise voluptuous.Invalid("expected ip:port")
     host, port = text.rsplit(":", 1)
     try:
         ipaddress.ip_address(host.strip("[]"))
-        good = 0 < int(port) < 65536
+        valid = 0 < int(port) < 65536
     except ValueError:
-        good = False
-    if not good:
+        valid = False
+    if not valid:
         raise voluptuous.Invalid(f"expected ip:port, got {text!r}")
     return text
 
@@ -43,16 +43,16 @@
 SCHEMA = voluptuous.Schema(
     {
         "name": voluptuous.All(str, voluptuous.Match(r"^[A-Za-z0-9._-]{1,64}$")),
-        "address": address,
-        "http": address,
-        voluptuous.Optional("listen"): address,
+        "address": ip_and_port,
+        "http": ip_and_port,
+        voluptuous.Optional("listen"): ip_and_port,
         "cell": voluptuous.All(str, voluptuous.Length(min=1)),
-        "seeds": voluptuous.All([address], voluptuous.Length(min=1, max=3)),
+        "seeds": voluptuous.All([ip_and_port], voluptuous.Length(min=1, max=3)),
         "list_url": voluptuous.All(str, voluptuous.Match(r"^http://")),
-        voluptuous.Optional("first_keepers"): voluptuous.All([address], voluptuous.Length(max=7)),
+        voluptuous.Optional("first_keepers"): voluptuous.All([ip_and_port], voluptuous.Length(max=7)),
         voluptuous.Optional("data"): voluptuous.All(str, voluptuous.Length(min=1)),
         voluptuous.Optional("ring"): str,
-        voluptuous.Optional("ready_http"): address,
+        voluptuous.Optional("ready_http"): ip_and_port,
         voluptuous.Optional("slack"): voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0, max=100000)),
         voluptuous.Optional("losses"): voluptuous.All(int, voluptuous.Range(min=0, max=100)),
         voluptuous.Optional("catch_up_s"): voluptuous.All(
@@ -76,11 +76,11 @@
 )
 
 
-def faults(settings):
+def validation_errors(settings):
     try:
         SCHEMA(settings)
-    except voluptuous.MultipleInvalid as many:
-        return sorted(f"{configuration.path_of(e)}: {e.error_message}" for e in many.errors)
+    except voluptuous.MultipleInvalid as invalid:
+        return sorted(f"{configuration.error_path(error)}: {error.error_message}" for error in invalid.errors)
     return []
 
 
@@ -90,15 +90,15 @@
     if path:
         try:
             settings = json.loads(pathlib.Path(path).read_text())
-        except (OSError, ValueError) as e:
-            raise SettingsFault([f"{path}: {e}"]) from e
+        except (OSError, ValueError) as error:
+            raise SettingsError([f"{path}: {error}"]) from error
         if not isinstance(settings, dict):
-            raise SettingsFault([f"{path}: must be a JSON object"])
+            raise SettingsError([f"{path}: must be a JSON object"])
     settings.update({k: v for k, v in flags.items() if v not in (None, [], "")})
-    found = faults(settings)
+    errors = validation_errors(settings)
     if keeper and not settings.get("data"):
-        found.append("data: a keeper needs a data folder")
-    if found:
-        raise SettingsFault(found)
+        errors.append("data: a keeper needs a data folder")
+    if errors:
+        raise SettingsError(errors)
     settings.setdefault("first_keepers", settings["seeds"])
     return settings
--- a/mothshed/configuration/tenant_keys.py
+++ b/mothshed/configuration/tenant_keys.py
@@ -55,13 +55,13 @@
         return self.tenants.get(digest) if digest else None
 
 
-def shared_key_faults(tenants: collections.abc.Mapping[str, dict[str, typing.Any]]) -> list[str]:
+def shared_key_errors(tenants: collections.abc.Mapping[str, dict[str, typing.Any]]) -> list[str]:
     """Faults of keys that two tenants hold, by path; the key itself is not named."""
-    found: list[str] = []
+    errors: list[str] = []
     first: dict[str, str] = {}  # digest -> the first tenant with that key
     for name, row in tenants.items():
         for position, digest in enumerate(row.get("keys", ())):
             other = first.setdefault(digest, name)
             if other != name:
-                found.append(f"tenants.{name}.keys.{position}: it is a key of {other!r} too")
-    return found
+                errors.append(f"tenants.{name}.keys.{position}: it is a key of {other!r} too")
+    return errors
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -128,10 +128,10 @@
             return front.fault(start, 400, f"body is not JSON: {e}")
         found = form_faults(body, {"document"})
         if isinstance(body, dict):
-            found += [f"document.{f}" for f in configuration.faults(body.get("document"))]
+            found += [f"document.{f}" for f in configuration.validation_errors(body.get("document"))]
         if found:
             return not_applied(start, found)
-        command = {**command_of(body), "doc": configuration.full(body["document"])}
+        command = {**command_of(body), "doc": configuration.with_defaults(body["document"])}
         return self.stage(environ, start, command, answer)
 
     def patch(self, environ: Environ, start: StartResponse) -> list[bytes]:
@@ -144,12 +144,12 @@
         if found:
             return not_applied(start, found)
         try:
-            change = document_change.read(body.get("put", {}), body.get("remove", {}))
-        except document_change.ChangeFault as e:
-            return not_applied(start, e.faults)
+            change = document_change.parse_change(body.get("put", {}), body.get("remove", {}))
+        except document_change.ChangeError as e:
+            return not_applied(start, e.errors)
 
         def complete(newest: document_change.Document | None) -> document_change.Document:
-            return checked(document_change.applied(newest or {}, change))
+            return checked(document_change.apply_change(newest or {}, change))
 
         return self.stage(environ, start, command_of(body), answer, complete)
 
@@ -167,8 +167,8 @@
             return away
         try:
             result = self.calls.change(command, complete) if complete else self.calls.write(command)
-        except document_change.ChangeFault as e:
-            return not_applied(start, e.faults)
+        except document_change.ChangeError as e:
+            return not_applied(start, e.errors)
         except confirmed_calls.NotConfirmed:
             return not_confirmed(start)
         except confirmed_calls.Unclear:
@@ -206,14 +206,14 @@
 
 
 def checked(document: document_change.Document) -> document_change.Document:
-    """A document made by a change, with its defaults filled in; raises ChangeFault if it is not valid whole."""
-    found = configuration.faults(document)
+    """A document made by a change, with its defaults filled in; raises ChangeError if it is not valid whole."""
+    found = configuration.validation_errors(document)
     if found:
-        raise document_change.ChangeFault([f"document.{f}" for f in found])
-    document = configuration.full(document)
+        raise document_change.ChangeError([f"document.{f}" for f in found])
+    document = configuration.with_defaults(document)
     size = len(json.dumps(document))
     if size > constants.MAX_BODY_BYTES:
-        raise document_change.ChangeFault([f"document: {size} bytes, more than {constants.MAX_BODY_BYTES}"])
+        raise document_change.ChangeError([f"document: {size} bytes, more than {constants.MAX_BODY_BYTES}"])
     return document
 
 
--- a/mothshed/programs/ask.py
+++ b/mothshed/programs/ask.py
@@ -65,7 +65,7 @@
 def change(
     keepers: list[str], base: int, items: dict[str, typing.Any], by: str, mark: str
 ) -> tuple[int, dict[str, typing.Any]]:
-    """(exit code, answer) of changing named items. items: `put` and `remove`, as document_change.read takes them."""
+    """(exit code, answer) of changing named items. items: `put` and `remove`, as for document_change.parse_change."""
     return send_order(keepers, "PATCH", {**items, "base": base, "by": by, "id": mark})
 
 
--- a/mothshed/programs/operate_configuration.py
+++ b/mothshed/programs/operate_configuration.py
@@ -37,7 +37,7 @@
 
     def __call__(self) -> None:
         """Print every fault and exit with 2, or say that the document is valid."""
-        found = configuration.faults(document_file.read(self.file))
+        found = configuration.validation_errors(document_file.read(self.file))
         if found:
             raise cappa.Exit("\n".join(found), code=2)
         print("valid")
@@ -56,7 +56,7 @@
     def __call__(self) -> None:
         """Send the document; exit with the codes above unless it is acknowledged."""
         document = document_file.read(self.file)
-        found = configuration.faults(document)
+        found = configuration.validation_errors(document)
         if found:
             raise cappa.Exit("nothing was applied:\n" + "\n".join(found), code=2)
         code, said = ask.apply(self.keeper, self.base, document, self.by, secrets.token_hex(8))
@@ -82,9 +82,9 @@
         if unknown:
             raise cappa.Exit("nothing was applied: expected put and remove, not " + ", ".join(unknown), code=2)
         try:
-            document_change.read(said.get("put", {}), said.get("remove", {}))
-        except document_change.ChangeFault as e:
-            raise cappa.Exit("nothing was applied:\n" + "\n".join(e.faults), code=2) from e
+            document_change.parse_change(said.get("put", {}), said.get("remove", {}))
+        except document_change.ChangeError as e:
+            raise cappa.Exit("nothing was applied:\n" + "\n".join(e.errors), code=2) from e
         code, answer = ask.change(self.keeper, self.base, said, self.by, secrets.token_hex(8))
         show(answer)
         if code:
@@ -134,7 +134,7 @@
         """Print the document, or exit with 2 and what is wrong with the manifest."""
         try:
             show(manifests.translate(pathlib.Path(self.file).read_text()))
-        except (OSError, manifests.ManifestFault) as e:
+        except (OSError, manifests.ManifestError) as e:
             raise cappa.Exit(f"{self.file}: {e}", code=2) from e
 
 
--- a/mothshed/programs/process.py
+++ b/mothshed/programs/process.py
@@ -37,8 +37,8 @@
     flags = {k: v for k, v in dataclasses.asdict(args).items() if k != "settings"}
     try:
         found = settings_module.load(args.settings, flags, keeper)
-    except settings_module.SettingsFault as e:
-        raise cappa.Exit("settings are not valid:\n" + "\n".join(f"  {f}" for f in e.found), code=2) from e
+    except settings_module.SettingsError as e:
+        raise cappa.Exit("settings are not valid:\n" + "\n".join(f"  {f}" for f in e.errors), code=2) from e
     log_buffer.start(found["name"], found.get("ring"))
     return found
 
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -76,7 +76,7 @@
     def on_hup(number, frame):
         try:
             reread()
-        except settings_module.SettingsFault as e:  # the old settings stand
+        except settings_module.SettingsError as e:  # the old settings stand
             log_buffer.note("settings_unreadable", reason=str(e))
 
     signal.signal(signal.SIGHUP, on_hup)
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -104,8 +104,8 @@
             **more,
         }
         document = operator_front.document_of(self.said)
-        assert configuration.faults(document) == []
-        self.form = (self.number + 1, configuration.full(document))
+        assert configuration.validation_errors(document) == []
+        self.form = (self.number + 1, configuration.with_defaults(document))
         self.number += 1
 
     def sequence(self):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -132,9 +132,9 @@
     path.write_text(
         json.dumps({"name": "x y", "address": "host:1", "http": "127.0.0.1:99999", "cell": "", "seeds": [], "odd": 1})
     )
-    with pytest.raises(settings.SettingsFault) as fault:
+    with pytest.raises(settings.SettingsError) as raised:
         settings.load(path, {}, keeper=True)
-    named = {f.split(":")[0] for f in fault.value.found}
+    named = {f.split(":")[0] for f in raised.value.errors}
     assert named == {"name", "address", "http", "cell", "seeds", "odd", "list_url", "data"}
     done = subprocess.run(
         [sys.executable, "-m", "mothshed.programs.keep", "--settings", str(path)], capture_output=True, text=True
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,7 +14,7 @@
 
 def test_the_example_of_routes_is_valid():
     found = re.findall(r"```json\n(.*?)```", (ROOT / "docs" / "operate.md").read_text(), re.S)
-    assert len(found) == 1 and configuration.faults(json.loads(found[0])) == []
+    assert len(found) == 1 and configuration.validation_errors(json.loads(found[0])) == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda p: p.name)
--- a/tests/test_document_difference.py
+++ b/tests/test_document_difference.py
@@ -36,7 +36,7 @@
 def test_applying_the_difference_gives_exactly_the_newer_document(base, newer):
     before = json.dumps([base, newer])
     change = json.loads(json.dumps(document_difference.difference(base, newer)))
-    assert json.dumps(document_difference.applied(base, change)) == json.dumps(newer)
+    assert json.dumps(document_difference.apply_difference(base, change)) == json.dumps(newer)
     assert json.dumps([base, newer]) == before
 
 
@@ -47,7 +47,7 @@
     touched = data.draw(strategies.sampled_from([None, *base]))
     if touched:
         newer[touched] = data.draw(SECTIONS)
-    result = document_difference.applied(base, document_difference.difference(base, newer))
+    result = document_difference.apply_difference(base, document_difference.difference(base, newer))
     assert all(result[section] is base[section] for section in base if section != touched)
 
 
@@ -82,6 +82,6 @@
 def test_a_difference_that_does_not_fit_is_refused_and_changes_nothing(change):
     base = {"model": "a", "pools": {"main": {}}, "routes": []}
     before = copy.deepcopy(base)
-    with pytest.raises(document_difference.DifferenceFault):
-        document_difference.applied(base, change)
+    with pytest.raises(document_difference.DifferenceError):
+        document_difference.apply_difference(base, change)
     assert base == before
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -36,7 +36,7 @@
 
 def test_the_subset_becomes_the_same_document():
     document = manifests.translate(GOOD)
-    assert configuration.faults(document) == []
+    assert configuration.validation_errors(document) == []
     assert document["pairings"] == [
         {"pool": "main", "policy": "least_usage", "kinds": ["flag"], "tenants": ["riders"]},
         {"pool": "main", "policy": "prefix_affinity"},
@@ -68,5 +68,5 @@
 )
 def test_what_is_not_supported_is_named_and_refused(old, new, place):
     assert old in GOOD
-    with pytest.raises(manifests.ManifestFault, match=place):
+    with pytest.raises(manifests.ManifestError, match=place):
         manifests.translate(GOOD.replace(old, new, 1))
--- a/tools/hollow/design.py
+++ b/tools/hollow/design.py
@@ -112,7 +112,7 @@
         for at in range(size.tenants)
     ]
     said = {"sequence": sequence, "routes": routes, "pools": pools}
-    return configuration.full(
+    return configuration.with_defaults(
         {
             "model": model(0),
             "kinds": {"any": {"cutoff_s": 8}},
--- a/tools/runbook.py
+++ b/tools/runbook.py
@@ -64,7 +64,7 @@
         book = BOOK(book)
     except voluptuous.MultipleInvalid as many:
         raise BookFault(
-            "; ".join(f"{path.name}: {configuration.path_of(e)}: {e.error_message}" for e in many.errors)
+            "; ".join(f"{path.name}: {configuration.error_path(e)}: {e.error_message}" for e in many.errors)
         ) from many
     for place in ("before", "steps"):
         for at, step in enumerate(book[place]):
--- a/tools/runbook_verbs.py
+++ b/tools/runbook_verbs.py
@@ -111,7 +111,7 @@
 
 @check
 def document_valid(book, file):
-    found = configuration.faults(document_file.read(file))
+    found = configuration.validation_errors(document_file.read(file))
     return "; ".join(found) or None
 
 
