--- a/mothshed/control_plane/taken_orders.py
+++ b/mothshed/control_plane/accepted_orders.py
@@ -6,7 +6,7 @@
 sequence of the one before it, so an order can only be a forgotten one if its base is
 below `floor`, the sequence of the newest order that was dropped.
 
->>> taken = TakenOrders(most=2)
+>>> taken = AcceptedOrders(max_orders=2)
 >>> for sequence in (5, 6, 9):
 ...     taken.add(f"order {sequence}", sequence)
 >>> taken.sequence_of("order 9"), taken.sequence_of("order 5")
@@ -22,7 +22,7 @@
 
 import mothshed.constants as constants
 
-ENTRY = struct.Struct(f"!{constants.ORDER_DIGEST_BYTES}sq")
+PACKED_ORDER = struct.Struct(f"!{constants.ORDER_DIGEST_BYTES}sq")
 
 
 def digest_of(order_id: str) -> bytes:
@@ -30,18 +30,18 @@
     return hashlib.blake2b(order_id.encode("utf-8", "surrogatepass"), digest_size=constants.ORDER_DIGEST_BYTES).digest()
 
 
-class TakenOrders:
+class AcceptedOrders:
     """Order id -> sequence for the newest orders, and a floor below which nothing is known."""
 
-    def __init__(self, most: int = constants.MAX_REMEMBERED_ORDERS) -> None:
-        self.most = most
+    def __init__(self, max_orders: int = constants.MAX_REMEMBERED_ORDERS) -> None:
+        self.max_orders = max_orders
         self.sequences: dict[bytes, int] = {}  # digest -> sequence, oldest first
         self.floor = 0
 
     def add(self, order_id: str, sequence: int) -> None:
         """Note that an order was given this sequence; the oldest note goes once there are too many."""
         self.sequences[digest_of(order_id)] = sequence
-        while len(self.sequences) > self.most:
+        while len(self.sequences) > self.max_orders:
             oldest = next(iter(self.sequences))
             self.floor = self.sequences.pop(oldest)
 
@@ -55,10 +55,10 @@
 
     def dump(self) -> dict[str, typing.Any]:
         """The record as a snapshot keeps it."""
-        packed = b"".join(ENTRY.pack(digest, sequence) for digest, sequence in self.sequences.items())
+        packed = b"".join(PACKED_ORDER.pack(digest, sequence) for digest, sequence in self.sequences.items())
         return {"floor": self.floor, "orders": base64.b64encode(packed).decode()}
 
     def restore(self, state: dict[str, typing.Any]) -> None:
         """Take a snapshot's record."""
         self.floor = state["floor"]
-        self.sequences = dict(ENTRY.iter_unpack(base64.b64decode(state["orders"])))
+        self.sequences = dict(PACKED_ORDER.iter_unpack(base64.b64decode(state["orders"])))
--- a/mothshed/control_plane/config_machine.py
+++ b/mothshed/control_plane/config_machine.py
@@ -5,7 +5,7 @@
 import typing
 
 import mothshed.constants as constants
-import mothshed.control_plane.taken_orders as taken_orders
+import mothshed.control_plane.accepted_orders as accepted_orders
 
 Command = dict[str, typing.Any]  # an entry's command, by its `op`
 Result = dict[str, typing.Any]  # what became of it
@@ -19,9 +19,9 @@
     def __init__(self) -> None:
         self.docs: dict[int, dict[str, typing.Any]] = {}  # sequence -> {"doc", "by", "id"}
         self.sizes: dict[int, int] = {}  # sequence -> bytes of that row as JSON
-        self.taken = taken_orders.TakenOrders()
+        self.accepted = accepted_orders.AcceptedOrders()
         self.latest = self.active = 0
-        self.staged_index: dict[
+        self.staged_log_index: dict[
             int, int | None
         ] = {}  # sequence not active yet -> index of its entry; None where only a snapshot tells of it
         self.changed: collections.abc.Callable[[str, int], None] = lambda kind, sequence: None
@@ -32,18 +32,18 @@
             return self.stage(index, command)
         if command["op"] == "activate" and self.active < command["sequence"] in self.docs:
             self.active = command["sequence"]
-            self.staged_index = {s: at for s, at in self.staged_index.items() if s > self.active}
-            self.drop_documents()
+            self.staged_log_index = {s: entry for s, entry in self.staged_log_index.items() if s > self.active}
+            self.drop_old_documents()
             self.changed("activate", self.active)
         return {"active": self.active}
 
     def known_result(self, command: Command) -> Result | None:
         """What a stage command would come to if it changes nothing; None if it would be taken."""
-        sequence = self.taken.sequence_of(command["id"])
+        sequence = self.accepted.sequence_of(command["id"])
         if sequence is not None:
             return {"sequence": sequence}
         if command["base"] != self.latest:
-            if self.taken.may_have_dropped(command["base"]):
+            if self.accepted.may_have_dropped(command["base"]):
                 return {"unknown": command["base"]}
             return {"conflict": self.latest}
         if command.get("sequence", self.latest + 1) <= self.latest:
@@ -56,32 +56,32 @@
 
     def stage(self, index: int, command: Command) -> Result:
         """Take a document on top of the newest one, or say why it is not taken."""
-        known = self.known_result(command)
-        if known:
-            return known
+        result = self.known_result(command)
+        if result:
+            return result
         self.latest = command.get("sequence", self.latest + 1)
         self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
-        self.taken.add(command["id"], self.latest)
-        self.staged_index[self.latest] = index
-        self.drop_documents()
+        self.accepted.add(command["id"], self.latest)
+        self.staged_log_index[self.latest] = index
+        self.drop_old_documents()
         self.changed("stage", self.latest)
         return {"sequence": self.latest}
 
-    def drop_documents(self) -> None:
+    def drop_old_documents(self) -> None:
         """Keeps the active document, the newest staged ones and a history bounded in count and bytes."""
         staged = sorted(s for s in self.docs if s > self.active)
         older = sorted((s for s in self.docs if s < self.active), reverse=True)
         dropped, total = staged[: -constants.MAX_STAGED_DOCUMENTS], 0
-        for place, sequence in enumerate(older):
-            total += self.size_of(sequence)
-            if place >= constants.MAX_HISTORY_DOCUMENTS or total > constants.MAX_HISTORY_BYTES:
-                dropped = dropped + older[place:]
+        for position, sequence in enumerate(older):
+            total += self.document_size(sequence)
+            if position >= constants.MAX_HISTORY_DOCUMENTS or total > constants.MAX_HISTORY_BYTES:
+                dropped = dropped + older[position:]
                 break
         for sequence in dropped:
             del self.docs[sequence]
             self.sizes.pop(sequence, None)
 
-    def size_of(self, sequence: int) -> int:
+    def document_size(self, sequence: int) -> int:
         """Bytes of a document's row as JSON."""
         if sequence not in self.sizes:
             self.sizes[sequence] = len(json.dumps(self.docs[sequence]))
@@ -93,18 +93,18 @@
             "latest": self.latest,
             "active": self.active,
             "docs": sorted(self.docs.items()),
-            "taken": self.taken.dump(),
+            "taken": self.accepted.dump(),
         }
 
     def restore(self, state: dict[str, typing.Any]) -> None:
         """Take a snapshot's state."""
         self.latest, self.active = state["latest"], state["active"]
         self.docs, self.sizes = {int(s): row for s, row in state["docs"]}, {}
-        self.staged_index = {self.latest: None} if self.latest > self.active else {}
-        self.taken = taken_orders.TakenOrders()
+        self.staged_log_index = {self.latest: None} if self.latest > self.active else {}
+        self.accepted = accepted_orders.AcceptedOrders()
         if "taken" in state:
-            self.taken.restore(state["taken"])
+            self.accepted.restore(state["taken"])
         else:  # a snapshot from before the record: its documents are the orders it remembers
             for sequence, row in sorted(self.docs.items()):
-                self.taken.add(row["id"], sequence)
-            self.taken.floor = min(self.docs, default=0)
+                self.accepted.add(row["id"], sequence)
+            self.accepted.floor = min(self.docs, default=0)
--- a/mothshed/control_plane/config_part.py
+++ b/mothshed/control_plane/config_part.py
@@ -44,7 +44,7 @@
         self.on, self.asking = True, False
         self.holders, self.acks = {}, {}
         self.delivery = document_delivery.DocumentDelivery(lambda: self.machine.docs)
-        inherited = {s: index for s, index in self.machine.staged_index.items() if s > self.machine.active}
+        inherited = {s: index for s, index in self.machine.staged_log_index.items() if s > self.machine.active}
         self.staged_at = {s: self.committed_since(index) for s, index in inherited.items()}
         self.number = self.member.log.term * 1000000
         self.started = self.environment.now()
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -116,7 +116,7 @@
                 "active": machine.active,
                 "latest": machine.latest,
                 "rows": [history_row(sequence, row) for sequence, row in sorted(machine.docs.items())],
-                "taken": {order_id: machine.taken.sequence_of(order_id) for order_id in asked},
+                "taken": {order_id: machine.accepted.sequence_of(order_id) for order_id in asked},
             }
 
         return self.read(environ, start, give)
--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -7,8 +7,8 @@
 import pytest
 
 import mothshed.constants as constants
+import mothshed.control_plane.accepted_orders as accepted_orders
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.taken_orders as taken_orders
 
 STEADY = hypothesis.settings(derandomize=True, max_examples=150, deadline=None, database=None)
 
@@ -60,7 +60,7 @@
 
 def test_past_the_record_an_order_is_left_unclear_and_never_refused(monkeypatch):
     machine = config_machine.ConfigMachine()
-    machine.taken = taken_orders.TakenOrders(most=10)
+    machine.accepted = accepted_orders.AcceptedOrders(max_orders=10)
     for base in range(100):
         machine.apply(0, stage(base, base + 1, f"order {base}"))
     for base in range(100):
@@ -72,12 +72,12 @@
 
 
 def test_a_whole_record_is_small_and_comes_back_whole():
-    taken = taken_orders.TakenOrders()
+    taken = accepted_orders.AcceptedOrders()
     for sequence in range(1, constants.MAX_REMEMBERED_ORDERS + 101):
         taken.add(f"order {sequence}", sequence)
     text = json.dumps(taken.dump())
     assert len(text) < 40 * constants.MAX_REMEMBERED_ORDERS
-    other = taken_orders.TakenOrders()
+    other = accepted_orders.AcceptedOrders()
     other.restore(json.loads(text))
     assert other.sequences == taken.sequences and list(other.sequences) == list(taken.sequences)
     assert other.floor == taken.floor == 100
@@ -106,14 +106,14 @@
 def test_one_number_is_taken_for_one_content_whatever_is_sent_and_sent_again(orders, most, restart_at):
     """Editions rise, each has one content, and what was taken is acknowledged or unclear for ever."""
     machine = config_machine.ConfigMachine()
-    machine.taken = taken_orders.TakenOrders(most=most)
+    machine.accepted = accepted_orders.AcceptedOrders(max_orders=most)
     acknowledged, numbers = {}, {}
     for place, (base, step, content) in enumerate(orders):
         if place == restart_at:
             state, machine = json.loads(json.dumps(machine.dump())), config_machine.ConfigMachine()
-            machine.taken = taken_orders.TakenOrders(most=most)
+            machine.accepted = accepted_orders.AcceptedOrders(max_orders=most)
             machine.restore(state)
-            machine.taken.most = most
+            machine.accepted.max_orders = most
         base = max(0, machine.latest - base) if base else machine.latest
         order = stage(base, base + step, f"{base} {base + step} {content}", {"content": content})
         said = machine.apply(0, order)
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -102,7 +102,7 @@
 
 def test_an_order_older_than_the_record_is_unclear_and_not_refused():
     member = operators.Member()
-    member.machine.taken.most = 2
+    member.machine.accepted.max_orders = 2
     for edition in range(1, 6):
         assert operators.put(member, edition - 1, edition)[0] == 200
     assert [operators.put(member, edition - 1, edition)[0] for edition in range(1, 6)] == [504, 504, 504, 200, 200]
--- a/tests/test_operator_walks.py
+++ b/tests/test_operator_walks.py
@@ -35,7 +35,7 @@
             assert acknowledged.setdefault(edition, note) == note and at not in refused
         elif status in (400, 412):
             sent = platform_site.operator_front.command_of(operators.document(edition, note), str(base))
-            assert member.machine.taken.sequence_of(sent["id"]) is None
+            assert member.machine.accepted.sequence_of(sent["id"]) is None
             if base <= member.machine.latest:  # one on a base that is yet to come may be sent again
                 refused.add(at)
 
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -49,7 +49,7 @@
 def stage_anyway(self, index, command):
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
-    self.drop_documents()
+    self.drop_old_documents()
     self.changed("stage", self.latest)
     return {"sequence": self.latest}
 
