--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -17,7 +17,7 @@
     """No majority confirms this member as leader now: nothing was read and nothing was written."""
 
 
-class Unclear(Exception):
+class OutcomeUnknown(Exception):
     """A write that was proposed and may yet be committed."""
 
 
@@ -33,15 +33,18 @@
         """Take the call, to begin or to withdraw it; true for the first taker only."""
         return self.claimed.acquire(blocking=False)
 
-    def end(self, result: typing.Any) -> None:
+    def finish(self, result: typing.Any) -> None:
         """Hand the result, or an exception, to the thread that waits."""
         self.result = result
         self.event.set()
 
-    def wait(self, span: float) -> typing.Any:
-        """The result within span seconds; NotConfirmed if the call was never begun, Unclear if it has not ended."""
-        if not self.event.wait(span):
-            raise NotConfirmed() if self.claim() else Unclear()
+    def wait(self, timeout_s: float) -> typing.Any:
+        """Wait up to timeout_s for the result and return it.
+
+        Raises NotConfirmed if the call never began, and OutcomeUnknown if it has not finished.
+        """
+        if not self.event.wait(timeout_s):
+            raise NotConfirmed() if self.claim() else OutcomeUnknown()
         if isinstance(self.result, Exception):
             raise self.result
         return self.result
@@ -62,70 +65,72 @@
         """The member as it is now."""
         return self.current_member()
 
-    def read(self, give: collections.abc.Callable[[], typing.Any]) -> typing.Any:
-        """What give() returns once a majority has confirmed this leader; raises NotConfirmed."""
+    def read(self, query: collections.abc.Callable[[], typing.Any]) -> typing.Any:
+        """What query() returns once a majority has confirmed this leader; raises NotConfirmed."""
 
         def begin(call: PendingCall) -> None:
-            self.member.confirm(lambda good: call.end(give() if good else NotConfirmed()))
+            self.member.confirm(lambda confirmed: call.finish(query() if confirmed else NotConfirmed()))
 
         try:
             return self.run(begin)
-        except Unclear as unclear:
-            raise NotConfirmed() from unclear
+        except OutcomeUnknown as error:
+            raise NotConfirmed() from error
 
     def write(self, command: dict[str, typing.Any]) -> typing.Any:
-        """What became of a command; raises NotConfirmed or Unclear."""
+        """What became of a command; raises NotConfirmed or OutcomeUnknown."""
         return self.run(lambda call: self.begin_write(command, call))
 
     def change(
-        self, command: dict[str, typing.Any], complete: collections.abc.Callable[[typing.Any], typing.Any]
+        self, command: dict[str, typing.Any], build_document: collections.abc.Callable[[typing.Any], typing.Any]
     ) -> typing.Any:
-        """What became of a command whose document complete() makes from the newest one.
+        """What became of a command whose document build_document() makes from the newest one.
 
-        Raises NotConfirmed, Unclear, and whatever complete() raises; then nothing was written. The newest
+        Raises NotConfirmed, OutcomeUnknown, and whatever build_document() raises; then nothing was written. The newest
         document is the one that the command builds on, or the command is known to change nothing; should
         another one be taken meanwhile, the command's base no longer holds and the write is a conflict.
         """
         machine = self.member.machine
-        until = self.member.environment.now() + constants.OPERATOR_CALL_TIMEOUT_S
-        known, newest = self.read(lambda: (machine.known_result(command), machine.newest_document()))
-        if known:
-            return known
-        whole = {**command, "doc": complete(newest)}
-        return self.run(lambda call: self.begin_write(whole, call), max(0.0, until - self.member.environment.now()))
+        deadline = self.member.environment.now() + constants.OPERATOR_CALL_TIMEOUT_S
+        known_result, newest = self.read(lambda: (machine.known_result(command), machine.newest_document()))
+        if known_result:
+            return known_result
+        complete_command = {**command, "doc": build_document(newest)}
+        return self.run(
+            lambda call: self.begin_write(complete_command, call), max(0.0, deadline - self.member.environment.now())
+        )
 
     def begin_write(self, command: dict[str, typing.Any], call: PendingCall) -> None:
         """Propose the command, or have its known result confirmed; within the mailbox."""
         machine = self.member.machine
-        known = machine.known_result(command) if command["base"] <= machine.latest else None
-        if known:  # it would change nothing: no entry is needed, only a majority's word that this is the newest
-            self.member.confirm(lambda good: call.end(known if good else NotConfirmed()))
+        known_result = machine.known_result(command) if command["base"] <= machine.latest else None
+        if known_result:  # it would change nothing: no entry is needed, only a majority's word that this is the newest
+            self.member.confirm(lambda confirmed: call.finish(known_result if confirmed else NotConfirmed()))
         elif command["id"] in self.proposed:  # sent again while the first is under way: one entry is enough
             self.proposed[command["id"]].append(call)
         else:
             self.proposed[command["id"]] = [call]
-            self.member.propose(command, lambda result: self.end_write(command["id"], result))
+            self.member.propose(command, lambda result: self.finish_write(command["id"], result))
 
-    def end_write(self, order_id: str, result: typing.Any) -> None:
+    def finish_write(self, order_id: str, result: typing.Any) -> None:
         """Hand the end of an entry to all calls that wait for it."""
         for call in self.proposed.pop(order_id):
-            call.end(Unclear() if result is None else result)
+            call.finish(OutcomeUnknown() if result is None else result)
 
     def run(
-        self, begin: collections.abc.Callable[[PendingCall], None], span: float = constants.OPERATOR_CALL_TIMEOUT_S
+        self, begin: collections.abc.Callable[[PendingCall], None], timeout_s: float = constants.OPERATOR_CALL_TIMEOUT_S
     ) -> typing.Any:
-        """Begin a call within the mailbox while a majority is in touch, and wait span seconds for its end."""
+        """Begin a call within the mailbox while a majority is in touch, and wait timeout_s seconds for its end."""
         if not self.member.has_quorum():  # also read here: the mailbox may be held up by its disk
             raise NotConfirmed()
         call = PendingCall(self.mailbox.new_event())
 
-        def begin_once() -> None:
+        def begin_unless_withdrawn() -> None:
             if not call.claim():
                 return
             if self.member.has_quorum():
                 begin(call)
             else:
-                call.end(NotConfirmed())
+                call.finish(NotConfirmed())
 
-        self.member.environment.post(begin_once)
-        return call.wait(span)
+        self.member.environment.post(begin_unless_withdrawn)
+        return call.wait(timeout_s)
--- a/mothshed/control_plane/document_delivery.py
+++ b/mothshed/control_plane/document_delivery.py
@@ -16,7 +16,7 @@
 Documents = collections.abc.Mapping[int, dict[str, typing.Any]]  # sequence -> row with its `doc`, as the machine has it
 
 
-class Lack(typing.NamedTuple):
+class MissingDocuments(typing.NamedTuple):
     """What a leaseholder lacks: sequences, and the one it holds; 0 if it takes no changes."""
 
     sequences: tuple[int, ...]
@@ -31,7 +31,7 @@
     changes: list[list[typing.Any]]  # rows of sequence, base and difference
 
 
-def delivered_form(document: Document) -> Document:
+def deliverable_document(document: Document) -> Document:
     """The document as processes that serve need it: without the text that its operator sent."""
     return {key: value for key, value in document.items() if key != "as_sent"}
 
@@ -41,43 +41,45 @@
 
     def __init__(self, documents: collections.abc.Callable[[], Documents]) -> None:
         self.documents = documents
-        self.forms: dict[int, Document] = {}
+        self.delivered_documents: dict[int, Document] = {}
         self.differences: dict[tuple[int, int], document_difference.Difference | None] = {}
 
-    def delivery(self, lack: Lack) -> Delivery:
+    def delivery(self, missing: MissingDocuments) -> Delivery:
         """What to send to a leaseholder that lacks these documents."""
-        found = Delivery([], [])
-        for sequence in lack.sequences:
-            change = self.difference(lack.base, sequence)
+        delivery = Delivery([], [])
+        for sequence in missing.sequences:
+            change = self.difference(missing.base, sequence)
             if change is None:
-                found.docs.append([sequence, self.form(sequence)])
+                delivery.docs.append([sequence, self.delivered_document(sequence)])
             else:
-                found.changes.append([sequence, lack.base, change])
-        return found
+                delivery.changes.append([sequence, missing.base, change])
+        return delivery
 
-    def form(self, sequence: int) -> Document | None:
+    def delivered_document(self, sequence: int) -> Document | None:
         """A document in its delivered form; None if it is known no more."""
-        known = self.forms.get(sequence)
+        known = self.delivered_documents.get(sequence)
         if known is not None:
             return known
         row = self.documents().get(sequence)
         if row is None:
             return None
-        self.forms[sequence] = made = delivered_form(row["doc"])
+        self.delivered_documents[sequence] = document = deliverable_document(row["doc"])
         self.drop_oldest()
-        return made
+        return document
 
     def drop_oldest(self) -> None:
         """Keep the MAX_DELIVERED_DOCUMENTS newest forms, those that the leader has, and differences of them."""
-        had = self.documents()
-        for sequence in sorted(self.forms)[: -constants.MAX_DELIVERED_DOCUMENTS]:
-            if sequence not in had:
-                del self.forms[sequence]
-        self.differences = {pair: row for pair, row in self.differences.items() if set(pair) <= self.forms.keys()}
+        leader_documents = self.documents()
+        for sequence in sorted(self.delivered_documents)[: -constants.MAX_DELIVERED_DOCUMENTS]:
+            if sequence not in leader_documents:
+                del self.delivered_documents[sequence]
+        self.differences = {
+            pair: row for pair, row in self.differences.items() if set(pair) <= self.delivered_documents.keys()
+        }
 
     def difference(self, base: int, sequence: int) -> document_difference.Difference | None:
         """The difference between two documents; None if the base is not known, or nothing would be saved."""
-        newer, older = self.form(sequence), self.form(base)
+        newer, older = self.delivered_document(sequence), self.delivered_document(base)
         if older is None or newer is None:
             return None
         pair = (base, sequence)
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -4,8 +4,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.limit_bounds as limit_bounds
@@ -25,7 +25,7 @@
 import mothshed.transport.gossip as gossip
 import mothshed.transport.remembered as remembered
 
-Duty = config_part.ConfigDuty | orders.OrderDuty
+Duty = config_leader_task.ConfigLeaderTask | orders.OrderDuty
 
 
 def incarnation(disk, name, chance):
@@ -89,7 +89,7 @@
         member.failed = self.disk_failed
         if not part:
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
-            return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
+            return member, config_leader_task.ConfigLeaderTask(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
         duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.speech, tenure)
         permit_duty.PermitDuty(member, self.lease, self.journal, limit_bounds.from_settings(settings))
--- a/mothshed/control_plane/keeper_front.py
+++ b/mothshed/control_plane/keeper_front.py
@@ -171,7 +171,7 @@
             return not_applied(start, e.errors)
         except confirmed_calls.NotConfirmed:
             return not_confirmed(start)
-        except confirmed_calls.Unclear:
+        except confirmed_calls.OutcomeUnknown:
             return unclear(start, command["id"])
         if "unknown" in result:
             return unclear(start, command["id"])
@@ -190,7 +190,7 @@
 
 def history_row(sequence: int, row: dict[str, typing.Any]) -> dict[str, typing.Any]:
     """A document of the history as operators are shown it: without the text that may hold keys."""
-    document = document_delivery.delivered_form(row["doc"])
+    document = document_delivery.deliverable_document(row["doc"])
     return {"sequence": sequence, "by": row["by"], "id": row["id"], "document": document}
 
 
--- a/mothshed/control_plane/leaseholder.py
+++ b/mothshed/control_plane/leaseholder.py
@@ -11,27 +11,31 @@
 class Leaseholder:
     """One process that asks for leases."""
 
-    until: float = 0.0  # when its newest lease has surely lapsed
+    lease_end: float = 0.0  # when its newest lease has surely lapsed
     staged: int = 0  # the newest sequence that it has said it holds
     active: int = 0  # the sequence that it serves under
-    asked: float = 0.0  # when it last asked
+    last_request: float = 0.0  # when it last asked
     takes_changes: bool = False  # whether documents may be sent to it as changes
     sent: dict[int, float] = dataclasses.field(default_factory=dict)  # sequence -> when its document was last sent
 
-    def note_ask(self, ask: dict[str, typing.Any], now: float) -> None:
+    def record_request(self, request: dict[str, typing.Any], now: float) -> None:
         """Take what it says of itself in an ask; a process that started again holds less than the one before."""
-        if ask["staged"] < self.staged or ask["held"] < self.active or self.takes_changes > ask["takes_changes"]:
+        if (
+            request["staged"] < self.staged
+            or request["held"] < self.active
+            or self.takes_changes > request["takes_changes"]
+        ):
             self.sent.clear()
-        self.staged, self.active = ask["staged"], ask["held"]
-        self.takes_changes = ask["takes_changes"]
-        self.asked = now
+        self.staged, self.active = request["staged"], request["held"]
+        self.takes_changes = request["takes_changes"]
+        self.last_request = now
 
-    def take_lack(self, machine: typing.Any, now: float) -> document_delivery.Lack:
-        """What to send it now, as take_sequences says, and the document that it holds."""
-        sequences = self.take_sequences(machine, now)
-        return document_delivery.Lack(sequences, self.staged if self.takes_changes and sequences else 0)
+    def next_missing(self, machine: typing.Any, now: float) -> document_delivery.MissingDocuments:
+        """What to send it now, as next_sequences says, and the document that it holds."""
+        sequences = self.next_sequences(machine, now)
+        return document_delivery.MissingDocuments(sequences, self.staged if self.takes_changes and sequences else 0)
 
-    def take_sequences(self, machine: typing.Any, now: float) -> tuple[int, ...]:
+    def next_sequences(self, machine: typing.Any, now: float) -> tuple[int, ...]:
         """The documents to send now: the newest and the active one, if it lacks them and they are not on their way."""
         self.sent = {s: at for s, at in self.sent.items() if now - at < constants.DOCUMENT_RESEND_S}
         needed = set()
--- a/tests/test_commit_moments.py
+++ b/tests/test_commit_moments.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.commit_moments as commit_moments
-import mothshed.control_plane.config_part as config_part
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.lease_bounds as lease_bounds
 import tests.all_orders as all_orders
 import tests.group_model as group_model
@@ -193,7 +193,7 @@
     """A duty that starts with sequence 2 staged over 1; when it was not acknowledged yet, in seconds ago."""
     pool = all_orders.Pool()
     seat = Inheritor(all_orders.ManualEnvironment(pool, "a:1"))
-    duty = config_part.ConfigDuty(seat, bounds)
+    duty = config_leader_task.ConfigLeaderTask(seat, bounds)
     duty.machine.apply(7, test_lease_state.stage(0, 1, "order 0"))
     duty.machine.apply(8, {"op": "activate", "sequence": 1})
     duty.machine.apply(9, test_lease_state.stage(1, 2, "order 1"))
@@ -204,17 +204,17 @@
 
 def test_a_new_leader_grants_short_older_leases_while_it_can_date_what_is_staged():
     pool, duty = inherited(0.9)
-    assert duty.length() == constants.SHORT_LEASE_S
-    pool.time += duty.bounds.older_s - 0.9 + 0.01
-    assert duty.length() == 0.0
+    assert duty.lease_length() == constants.SHORT_LEASE_S
+    pool.time += duty.bounds.older_lease_window_s - 0.9 + 0.01
+    assert duty.lease_length() == 0.0
 
 
 def test_a_new_leader_that_cannot_date_it_grants_none():
-    assert inherited(None)[1].length() == 0.0
+    assert inherited(None)[1].lease_length() == 0.0
     pool, duty = inherited(0.9)
     duty.machine.restore({**duty.machine.dump(), "docs": list(duty.machine.docs.items())})
     duty.start()  # a snapshot does not tell at which index the document was staged
-    assert duty.length() == 0.0
+    assert duty.lease_length() == 0.0
 
 
 def test_the_earliest_of_several_inherited_documents_counts():
@@ -222,19 +222,19 @@
     duty.machine.apply(10, test_lease_state.stage(2, 3, "order 2"))
     duty.member.not_committed_before = lambda index: pool.time - {9: 1.5, 10: 0.1}[index]
     duty.start()
-    pool.time += duty.bounds.older_s - 1.5 + 0.01
-    assert duty.length() == 0.0
+    pool.time += duty.bounds.older_lease_window_s - 1.5 + 0.01
+    assert duty.lease_length() == 0.0
 
 
 def test_what_is_inherited_is_activated_only_after_former_leases_and_those_granted_since():
     pool, duty = inherited(0.05)
-    until = duty.activates_from
-    duty.grant("r:1", {"mark": 1, "staged": 1, "held": 1})
+    until = duty.activation_allowed_at
+    duty.grant_lease("r:1", {"mark": 1, "staged": 1, "held": 1})
     pool.time = until - 0.01
     duty.try_activate()
     assert duty.machine.active == 1
     pool.time = until + 0.01
-    duty.grant("r:1", {"mark": 2, "staged": 1, "held": 1})
+    duty.grant_lease("r:1", {"mark": 2, "staged": 1, "held": 1})
     duty.try_activate()
     assert duty.machine.active == 1  # one that lacks the document holds a lease that was granted just now
     pool.time += constants.SHORT_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
@@ -245,6 +245,6 @@
 @pytest.mark.parametrize("in_force_s", [0.5, 1.0, 2.0, 2.5, 8.0])
 def test_no_older_lease_outlasts_the_time_that_the_settings_name(in_force_s):
     bounds = lease_bounds.LeaseBounds(in_force_s)
-    assert bounds.older_s + constants.SHORT_LEASE_S <= in_force_s
-    assert 0 < bounds.long_s <= min(constants.LONG_LEASE_S, in_force_s)
+    assert bounds.older_lease_window_s + constants.SHORT_LEASE_S <= in_force_s
+    assert 0 < bounds.long_lease_s <= min(constants.LONG_LEASE_S, in_force_s)
     assert types.SimpleNamespace(**vars(bounds)).in_force_s == in_force_s
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -7,8 +7,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.leaseholder as leaseholder
 import mothshed.control_plane.member as member_module
 import mothshed.http.events as events
@@ -112,13 +112,13 @@
 
 def duty_of(pool, *sequences):
     """A duty whose machine has these, the first of them active; it has waited out its start."""
-    duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+    duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
     base = 0
     for sequence in sequences[:1]:
         duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
         duty.machine.active = base = sequence
     duty.start()
-    duty.activates_from -= 10
+    duty.activation_allowed_at -= 10
     return duty
 
 
@@ -139,7 +139,7 @@
         ["a:1"],
         config_machine.ConfigMachine(),
     )
-    duty = config_part.ConfigDuty(seat)
+    duty = config_leader_task.ConfigLeaderTask(seat)
     seat.begin()
     seat.bootstrap({"A/1": {"address": "a:1", "http": ""}})
     pool.time += 10
@@ -156,24 +156,25 @@
 def test_a_lease_is_long_short_or_none_by_what_is_staged():
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
-    assert duty.length() == constants.LONG_LEASE_S
-    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)  # one that never says that it has it
+    assert duty.lease_length() == constants.LONG_LEASE_S
+    # this leaseholder never acknowledges the staged document
+    duty.leaseholders["r:1"] = leaseholder.Leaseholder(lease_end=pool.time + 100, staged=5)
     duty.machine.apply(0, stage(5, 40, "b"))
-    assert duty.machine.active == 5 and duty.length() == constants.SHORT_LEASE_S
-    pool.time += duty.bounds.older_s + 0.01
-    assert duty.length() == 0.0
-    duty.holders.clear()
+    assert duty.machine.active == 5 and duty.lease_length() == constants.SHORT_LEASE_S
+    pool.time += duty.bounds.older_lease_window_s + 0.01
+    assert duty.lease_length() == 0.0
+    duty.leaseholders.clear()
     duty.try_activate()
-    assert duty.machine.active == 40 and duty.length() == constants.LONG_LEASE_S
+    assert duty.machine.active == 40 and duty.lease_length() == constants.LONG_LEASE_S
 
 
 def test_a_new_owner_grants_nothing_old_while_something_is_staged():
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
-    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)
+    duty.leaseholders["r:1"] = leaseholder.Leaseholder(lease_end=pool.time + 100, staged=5)
     duty.machine.apply(0, stage(5, 40, "b"))
     duty.start()  # it does not know since when
-    assert duty.length() == 0.0 and duty.machine.active == 5
+    assert duty.lease_length() == 0.0 and duty.machine.active == 5
     pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
     duty.try_activate()
     assert duty.machine.active == 40
@@ -197,12 +198,12 @@
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
     for name, staged in (("r:1", 5), ("r:2", 5)):
-        duty.holders[name] = leaseholder.Leaseholder(until=pool.time + 1, staged=staged)
+        duty.leaseholders[name] = leaseholder.Leaseholder(lease_end=pool.time + 1, staged=staged)
     for base, sequence in ((5, 40), (40, 77)):
         duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
-    duty.on_news_ack("r:1", {"number": duty.number, "staged": 77})
+    duty.on_news_ack("r:1", {"number": duty.news_number, "staged": 77})
     assert duty.machine.active == 5
-    duty.on_news_ack("r:2", {"number": duty.number, "staged": 40})
+    duty.on_news_ack("r:2", {"number": duty.news_number, "staged": 40})
     assert duty.machine.active == 40
-    duty.on_news_ack("r:2", {"number": duty.number, "staged": 77})
+    duty.on_news_ack("r:2", {"number": duty.news_number, "staged": 77})
     assert duty.machine.active == 77
--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -149,7 +149,7 @@
     pool, duty, (lease,) = deployment()
     duty.stop()
     duty.start()
-    duty.activates_from -= 10
+    duty.activation_allowed_at -= 10
     lease.ask()
     deliver_all(pool)
     stage(duty, 3)
@@ -164,7 +164,7 @@
     del duty.machine.docs[2]
     duty.delivery.drop_oldest()
     pool.time += constants.DOCUMENT_RESEND_S
-    duty.activates_from = pool.time + 10
+    duty.activation_allowed_at = pool.time + 10
     lease.ask()
     pool.deliver(0)
     assert sent(pool)[-1] == ([39], [])
@@ -176,7 +176,7 @@
         stage(duty, number)
         deliver_all(pool)
     most = constants.MAX_DELIVERED_DOCUMENTS + len(duty.machine.docs)
-    assert len(duty.delivery.forms) <= most and len(duty.delivery.differences) <= most
+    assert len(duty.delivery.delivered_documents) <= most and len(duty.delivery.differences) <= most
     assert lease.document() == document(79) and len(lease.docs) <= 2
 
 
@@ -230,7 +230,7 @@
             assert all(held == document(s) for s, held in lease.docs.items() if s > 1)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_s + constants.SHORT_LEASE_S + 1e-9
+                assert lease.until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
                 assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -8,8 +8,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import tests.all_orders as all_orders
 
 STEADY = hypothesis.settings(derandomize=True, max_examples=150, deadline=None, database=None)
@@ -49,11 +49,11 @@
 def deployment(routers=2):
     """A pool, the duty on its leader, and leases that hold sequence 1."""
     pool = all_orders.Pool()
-    duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+    duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
     duty.machine.apply(0, stage(0, 1, "order 0", {"n": 1, "as_sent": {"big": "text"}}))
     duty.machine.active = 1
     duty.start()
-    duty.activates_from -= 10
+    duty.activation_allowed_at -= 10
     leases = [lease_module.Lease(all_orders.ManualEnvironment(pool, f"r:{n}"), lambda: ["a:1"]) for n in range(routers)]
     for lease in leases:
         lease.ask()
@@ -103,10 +103,10 @@
     leases[0].ask()
     pool.deliver(0)  # asked before anything new is staged; the majority's answer takes its time
     duty.machine.apply(0, stage(1, 2, "order 1"))
-    duty.holders["r:0"].staged = 2
+    duty.leaseholders["r:0"].staged = 2
     for call in duty.member.held_back:
         call(True)
-    assert duty.holders["r:0"].staged == 2
+    assert duty.leaseholders["r:0"].staged == 2
 
 
 def test_a_router_that_skipped_what_became_active_gets_it():
@@ -163,7 +163,7 @@
             activated.setdefault(number, pool.time)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_s + constants.SHORT_LEASE_S + 1e-9
+                assert lease.until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
                 assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -72,7 +72,7 @@
         assert fronts.call(front, "PUT", "/configuration", sent, {"If-Match": "0"})[0] == 504
     assert len(member.proposed) == 1 and len(front.calls.proposed) == 1
     if end == "lost":
-        front.calls.end_write(member.proposed[0]["id"], None)
+        front.calls.finish_write(member.proposed[0]["id"], None)
     else:
         member.waiting[0]()
     assert front.calls.proposed == {}
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,8 +7,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.member as member_module
 import mothshed.control_plane.service_part as service_part
 import tests.all_orders as all_orders
@@ -161,12 +161,12 @@
     seen = set()
     for order in sorted(set(all_orders.orders(acts))):
         pool = all_orders.Pool()
-        duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+        duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
         lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
         duty.member.machine.apply(0, stage(0))
         duty.member.machine.active = 1
         duty.start()
-        duty.activates_from -= 10
+        duty.activation_allowed_at -= 10
         lease.ask()
         while pool.waiting:
             pool.deliver(0)
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -61,8 +61,8 @@
     pool, duty, leases = lease_state.deployment(1)
     duty.machine.apply(0, lease_state.stage(1, 2, "order 1"))
     pool.waiting.clear()
-    duty.activates_from = pool.time + 100
-    pool.time += duty.bounds.older_s + 0.1
+    duty.activation_allowed_at = pool.time + 100
+    pool.time += duty.bounds.older_lease_window_s + 0.1
     for _turn in range(3):
         leases[0].ask()
         pool.deliver(0)
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -38,7 +38,14 @@
     "usage": ("UsageShare.tick", "usages"),
     "usage duty": ("usage",),
     "order duty": ("OrderDuty.tick",),
-    "configuration and agreement": ("ask", "news_ack", "ConfigDuty.tick", "append", "append_say", "Election.tick"),
+    "configuration and agreement": (
+        "ask",
+        "news_ack",
+        "ConfigLeaderTask.tick",
+        "append",
+        "append_say",
+        "Election.tick",
+    ),
 }
 
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -12,7 +12,7 @@
 PLACING = "mothshed/data_plane/placing.py"
 SENDS = "mothshed/data_plane/delivery_sends.py"
 LOAD_SUMS = "mothshed/control_plane/usage_duty.py"
-CONFIGURATION = "mothshed/control_plane/config_part.py"
+CONFIGURATION = "mothshed/control_plane/config_leader_task.py"
 
 
 class NotFound(Exception):
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -2,8 +2,8 @@
 
 import mothshed.configuration.lease as lease
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.keeper as keeper
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.reconfiguration as reconfiguration
@@ -63,7 +63,7 @@
         "no fall back",
     ),
     "activation waits for the leaseholders": (
-        weakened.put(config_part.ConfigDuty, try_activate=weakened.activate_at_once),
+        weakened.put(config_leader_task.ConfigLeaderTask, try_activate=weakened.activate_at_once),
         "router_loses_keepers",
         "no fall back",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -56,9 +56,9 @@
 
 def activate_at_once(self):
     m = self.machine
-    if self.on and m.latest > m.active and not self.asking:
-        self.asking = True
-        self.member.propose({"op": "activate", "sequence": m.latest}, self.activated)
+    if self.leading and m.latest > m.active and not self.activation_proposed:
+        self.activation_proposed = True
+        self.member.propose({"op": "activate", "sequence": m.latest}, self.activation_finished)
 
 
 def take_level(self, index, command):
