--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class AskCounts:
+class RequestCounts:
     """What became of the asks since the lease last ran: tells why none runs."""
 
     sent: int = 0
@@ -27,29 +27,30 @@
 
 
 class Lease:
-    def __init__(self, environment, keepers, changed=lambda: None):
+    def __init__(self, environment, keeper_addresses, changed=lambda: None):
         self.environment = environment
-        self.keepers = keepers  # () -> addresses that may know the leader
+        self.keeper_addresses = keeper_addresses  # () -> addresses that may know the leader
         self.changed = changed
         self.leader = ""
         self.docs = {}  # sequence -> document: the active one, and what is staged
-        self.former = {}  # the same of the one that was active before: a change made from it may be on its way
+        self.previous_documents = {}  # the same for the previously active document: changes from it may be in flight
         self.takes_changes = True  # False from a change that does not fit until the next document
         self.active, self.staged = 0, 0
-        self.until = 0.0
-        self.view = (0, 0.0, None)  # (active, until, document), read by other threads
-        self.mark = int(
+        self.valid_until = 0.0
+        self.published = (0, 0.0, None)  # (active, until, document), read by other threads
+        self.request_mark = int(
             environment.now() * constants.REQUEST_MARKS_PER_S
         )  # of the last ask; no life before used the same
-        self.asked, self.responded = {}, environment.now()  # mark -> when it was asked; when the leader last answered
-        self.started = environment.now()
-        self.number = 0  # latest news number
-        self.turn = 0
-        self.asked_at = -constants.LEASE_RENEWAL_INTERVAL_S  # when it last asked
+        self.requested_at = {}  # mark -> time of the request
+        self.last_contact = environment.now()  # when the leader last answered
+        self.started_at = environment.now()
+        self.news_number = 0  # latest news number
+        self.next_keeper_index = 0
+        self.last_request = -constants.LEASE_RENEWAL_INTERVAL_S  # when it last asked
         self.next_tick = None
-        self.asks = AskCounts()
+        self.request_counts = RequestCounts()
         self.staged_at: dict[int, float] = {}  # sequence -> when its document came
-        self.reports = log_buffer.RateLimiter(
+        self.report_limiter = log_buffer.RateLimiter(
             constants.MAX_VERSION_REPORT_BURST_LINES, constants.VERSION_REPORT_LINES_PER_S
         )
         for kind in ("grant", "news", "look_elsewhere"):
@@ -57,10 +58,11 @@
         environment.post(self.tick)
 
     def tick(self):
-        self.ask()
-        busy = self.staged > self.active
+        self.request_lease()
+        change_pending = self.staged > self.active
         self.next_tick = self.environment.call_later(
-            constants.SHORT_LEASE_RENEWAL_INTERVAL_S if busy else constants.LEASE_RENEWAL_INTERVAL_S, self.tick
+            constants.SHORT_LEASE_RENEWAL_INTERVAL_S if change_pending else constants.LEASE_RENEWAL_INTERVAL_S,
+            self.tick,
         )
 
     def renew_soon(self) -> None:
@@ -68,53 +70,54 @@
         if not self.next_tick:  # the first tick is still to come
             return
         self.next_tick.cancel()
-        wait = self.asked_at + constants.SHORT_LEASE_RENEWAL_INTERVAL_S - self.environment.now()
+        wait = self.last_request + constants.SHORT_LEASE_RENEWAL_INTERVAL_S - self.environment.now()
         if wait > 0:
             self.next_tick = self.environment.call_later(wait, self.tick)
         else:
             self.tick()
 
-    def ask(self):
+    def request_lease(self):
         now = self.environment.now()
-        if now - self.responded > 2 * constants.LEASE_RENEWAL_INTERVAL_S:
+        if now - self.last_contact > 2 * constants.LEASE_RENEWAL_INTERVAL_S:
             self.leader = ""
-        self.mark += 1
-        self.asked[self.mark] = self.asked_at = now
-        self.asked.pop(self.mark - 50, None)
-        self.asks.sent += 1
-        for goal in [self.leader] if self.leader else self.some_keepers():
+        self.request_mark += 1
+        self.requested_at[self.request_mark] = self.last_request = now
+        self.requested_at.pop(self.request_mark - 50, None)
+        self.request_counts.sent += 1
+        for destination in [self.leader] if self.leader else self.next_keepers():
             self.environment.send(
-                goal,
+                destination,
                 "ask",
                 part=0,
-                mark=self.mark,
+                mark=self.request_mark,
                 held=self.active,
                 staged=self.staged,
                 takes_changes=self.takes_changes,
             )
 
-    def some_keepers(self):
+    def next_keepers(self):
         """While no leader is known: a few at once, in a steady order so that none is passed over."""
-        known = sorted(set(self.keepers()))
-        self.turn += constants.MAX_LEASE_REQUEST_MEMBERS
+        known = sorted(set(self.keeper_addresses()))
+        self.next_keeper_index += constants.MAX_LEASE_REQUEST_MEMBERS
         return [
-            known[(self.turn + n) % len(known)] for n in range(min(constants.MAX_LEASE_REQUEST_MEMBERS, len(known)))
+            known[(self.next_keeper_index + n) % len(known)]
+            for n in range(min(constants.MAX_LEASE_REQUEST_MEMBERS, len(known)))
         ]
 
     def on_look_elsewhere(self, sender, body):
-        self.asks.redirected += 1
+        self.request_counts.redirected += 1
         if body["leader"] and body["leader"] != self.leader:
             self.leader = body["leader"]
-            self.responded = self.environment.now()
-            self.ask()
+            self.last_contact = self.environment.now()
+            self.request_lease()
 
     def on_grant(self, sender, body):
-        asked = self.asked.pop(body["mark"], None)
-        if asked is None:
+        requested_at = self.requested_at.pop(body["mark"], None)
+        if requested_at is None:
             return
-        self.responded = self.environment.now()
+        self.last_contact = self.environment.now()
         self.leader = sender
-        self.stage(self.documents(body), sender, body["number"])
+        self.stage(self.documents_in_record(body), sender, body["number"])
         if body["active"] < self.active:
             return
         length = body["length"]
@@ -122,106 +125,106 @@
             length = min(length, constants.SHORT_LEASE_S)
         self.activate(body["active"])
         if self.active == body["active"] and length > 0:  # a grant of no length says only who leads
-            self.note_gap(asked + length)
-            self.until = max(self.until, asked + length)
+            self.report_gap(requested_at + length)
+            self.valid_until = max(self.valid_until, requested_at + length)
         else:
-            self.asks.empty_grants += 1
+            self.request_counts.empty_grants += 1
         if 0 < length <= constants.SHORT_LEASE_S:
             self.renew_soon()
-        self.show()
+        self.publish()
 
     def on_news(self, sender, body):
-        self.responded = self.environment.now()
+        self.last_contact = self.environment.now()
         self.leader = sender
-        self.stage(self.documents(body), sender, body["number"])
+        self.stage(self.documents_in_record(body), sender, body["number"])
         self.activate(body["active"])
-        self.show()
+        self.publish()
 
-    def documents(self, body: dict[str, typing.Any]) -> list[tuple[int, document_difference.Document]]:
+    def documents_in_record(self, body: dict[str, typing.Any]) -> list[tuple[int, document_difference.Document]]:
         """The documents of a record, by sequence: those that came whole, and those that its changes lead to."""
-        found = {sequence: document for sequence, document in body["docs"]}
+        documents = {sequence: document for sequence, document in body["docs"]}
         for sequence, base, change in body.get("changes", ()):
-            document = self.changed_document(base, change, found)
+            document = self.rebuilt_document(base, change, documents)
             if document is not None:
-                found[sequence] = document
-        return sorted(found.items())
+                documents[sequence] = document
+        return sorted(documents.items())
 
-    def changed_document(
+    def rebuilt_document(
         self,
         base: int,
         change: document_difference.Difference,
         received: dict[int, document_difference.Document],
     ) -> document_difference.Document | None:
         """The document that a change makes of its base; None, and the whole is asked for, if that can't be told."""
-        known = received.get(base) or self.docs.get(base) or self.former.get(base)
+        base_document = received.get(base) or self.docs.get(base) or self.previous_documents.get(base)
         try:
-            if known is not None:
-                return document_difference.apply_difference(known, change)
-        except document_difference.DifferenceError as fault:
-            log_buffer.failure("change_does_not_fit", fault, base=base)
+            if base_document is not None:
+                return document_difference.apply_difference(base_document, change)
+        except document_difference.DifferenceError as error:
+            log_buffer.failure("change_does_not_fit", error, base=base)
         log_buffer.note("change_not_taken", base=base, active=self.active, staged=self.staged)
         self.takes_changes = False
         self.renew_soon()
         return None
 
     def stage(self, docs, sender, number):
-        self.number = number
-        was_busy = self.staged > self.active
+        self.news_number = number
+        change_was_pending = self.staged > self.active
         for sequence, doc in docs:
             self.docs[sequence] = doc
             self.takes_changes = True
             self.staged_at.setdefault(sequence, self.environment.now())
             self.staged = max(self.staged, sequence)
         if self.staged > self.active:
-            self.until = min(self.until, self.environment.now() + constants.SHORT_LEASE_S)
-            self.show()
+            self.valid_until = min(self.valid_until, self.environment.now() + constants.SHORT_LEASE_S)
+            self.publish()
         if docs:
             self.environment.send(sender, "news_ack", part=0, number=number, staged=self.staged)
-        if self.staged > self.active and not was_busy:
+        if self.staged > self.active and not change_was_pending:
             self.renew_soon()
 
     def activate(self, sequence):
         if sequence <= self.active or sequence not in self.docs:
             return
-        former, self.active = self.active, sequence
-        self.former = {former: self.docs[former]} if former in self.docs else {}
-        for old in [s for s in self.docs if s < sequence]:
-            del self.docs[old]
-        self.note_version(former)
+        previous, self.active = self.active, sequence
+        self.previous_documents = {previous: self.docs[previous]} if previous in self.docs else {}
+        for older in [s for s in self.docs if s < sequence]:
+            del self.docs[older]
+        self.report_version(previous)
         self.renew_soon()  # what is left of a short lease ends soon; the next one may be long
 
-    def note_version(self, former: int) -> None:
+    def report_version(self, previous: int) -> None:
         """Report that another version is in force here, and how long its document waited for that."""
         staged_s = round(self.environment.now() - self.staged_at[self.active], 3)
         self.staged_at = {s: at for s, at in self.staged_at.items() if s > self.active}
-        fields = {"sequence": self.active, "former": former, "staged_s": staged_s, "leader": self.leader}
-        log_buffer.report_limited(self.reports, "version_in_force", **fields)
+        fields = {"sequence": self.active, "former": previous, "staged_s": staged_s, "leader": self.leader}
+        log_buffer.report_limited(self.report_limiter, "version_in_force", **fields)
 
-    def note_gap(self, until: float) -> None:
+    def report_gap(self, valid_until: float) -> None:
         """Report how long no lease ran, if this one ends such a time; counted from the start for the first."""
         now = self.environment.now()
-        missing = now - max(self.until, self.started)
-        if until > now and missing > constants.MIN_REPORTED_LEASE_GAP_S:
-            fields = dataclasses.asdict(self.asks) | {"sequence": self.active, "leader": self.leader}
-            log_buffer.report("lease_back", missing_s=round(missing, 3), **fields)
-        if until > now:
-            self.asks = AskCounts()
-
-    def show(self):
-        old = self.view[0]
-        self.view = (self.active, self.until, self.docs.get(self.active))
-        if old != self.active:
+        missing_s = now - max(self.valid_until, self.started_at)
+        if valid_until > now and missing_s > constants.MIN_REPORTED_LEASE_GAP_S:
+            fields = dataclasses.asdict(self.request_counts) | {"sequence": self.active, "leader": self.leader}
+            log_buffer.report("lease_back", missing_s=round(missing_s, 3), **fields)
+        if valid_until > now:
+            self.request_counts = RequestCounts()
+
+    def publish(self):
+        previous = self.published[0]
+        self.published = (self.active, self.valid_until, self.docs.get(self.active))
+        if previous != self.active:
             self.changed()
 
     def sequence(self):
         """The sequence to serve under now, or None."""
-        active, until, doc = self.view
-        return active if doc is not None and self.environment.now() < until else None
+        active, valid_until, doc = self.published
+        return active if doc is not None and self.environment.now() < valid_until else None
 
     def document(self):
-        return self.view[2]
+        return self.published[2]
 
     def current(self) -> tuple[int | None, dict[str, typing.Any] | None]:
         """(sequence to serve under now or None, its document), both of one moment."""
-        active, until, doc = self.view
-        return (active, doc) if doc is not None and self.environment.now() < until else (None, doc)
+        active, valid_until, doc = self.published
+        return (active, doc) if doc is not None and self.environment.now() < valid_until else (None, doc)
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -184,7 +184,7 @@
     pool = all_orders.Pool()
     duty = duty_of(pool, 5)
     lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
-    lease.ask()
+    lease.request_lease()
     deliver(pool)
     assert lease.sequence() == 5 and lease.document() == {"n": 5}
     for base, sequence in ((5, 40), (40, 41), (41, 1000)):
--- a/tests/test_keys_of_our_interface.py
+++ b/tests/test_keys_of_our_interface.py
@@ -121,8 +121,10 @@
 
 
 def test_without_a_lease_a_key_is_never_said_to_be_unknown(fleet, monkeypatch):
-    monkeypatch.setattr(fleet.router.lease, "view", (*fleet.router.lease.view[:1], 0.0, fleet.router.lease.view[2]))
-    monkeypatch.setattr(fleet.router.lease, "show", lambda: None)
+    monkeypatch.setattr(
+        fleet.router.lease, "published", (*fleet.router.lease.published[:1], 0.0, fleet.router.lease.published[2])
+    )
+    monkeypatch.setattr(fleet.router.lease, "publish", lambda: None)
     status, fields, said = fleet.call({"authorization": "Bearer key-of-nobody"})
     assert status == 503 and fields["retry-after"] and said["error"]["verdict"] == "not_run"
 
--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -37,7 +37,7 @@
     assert [lease.sequence() for lease in leases] == [2] * routers
     pool.time += constants.DOCUMENT_RESEND_S
     for lease in leases:
-        lease.ask()
+        lease.request_lease()
     deliver_all(pool)
     return pool, duty, leases
 
@@ -70,7 +70,7 @@
     made.clear()
     stage(duty, 3)
     for lease in leases:
-        lease.ask()
+        lease.request_lease()
     deliver_all(pool)
     assert len(made) == 1 and [lease.sequence() for lease in leases] == [3] * 6
 
@@ -80,7 +80,7 @@
     stage(duty, 3)
     pool.waiting.clear()
     pool.time += constants.DOCUMENT_RESEND_S
-    lease.ask()
+    lease.request_lease()
     pool.deliver(0)
     assert sent(pool) == [([], [(3, 2)])]
     deliver_all(pool)
@@ -108,7 +108,7 @@
     pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     pool.deliver(0)  # the change
     assert lease.staged == 2 and not lease.takes_changes
-    lease.ask()
+    lease.request_lease()
     deliver_all(pool)
     assert lease.document() == document(3) and lease.takes_changes
 
@@ -119,7 +119,7 @@
     assert lease.staged == 2 and lease.document() == document(2)
     stage(duty, 3)
     pool.waiting.clear()
-    lease.ask()
+    lease.request_lease()
     pool.deliver(0)
     assert sent(pool) == [([3], [])]
 
@@ -130,7 +130,7 @@
     pool.waiting.clear()  # the change goes to the process before, which dies
     pool.ears["r:0"] = {}
     successor = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:0", "next life"), lambda: ["a:1"])
-    successor.ask()
+    successor.request_lease()
     pool.deliver(0)
     assert sent(pool) == [([2, 3], [])]
     deliver_all(pool)
@@ -150,7 +150,7 @@
     duty.stop()
     duty.start()
     duty.activation_allowed_at -= 10
-    lease.ask()
+    lease.request_lease()
     deliver_all(pool)
     stage(duty, 3)
     assert sent(pool) == [([], [(3, 2)])]
@@ -165,7 +165,7 @@
     duty.delivery.drop_oldest()
     pool.time += constants.DOCUMENT_RESEND_S
     duty.activation_allowed_at = pool.time + 10
-    lease.ask()
+    lease.request_lease()
     pool.deliver(0)
     assert sent(pool)[-1] == ([39], [])
 
@@ -214,7 +214,7 @@
         elif act == "swap" and len(pool.waiting) > 1:
             pool.waiting[:2] = reversed(pool.waiting[:2])
         elif act.startswith("ask"):
-            leases[int(act[-1])].ask()
+            leases[int(act[-1])].request_lease()
         elif act == "restart":
             pool.ears["r:1"] = {}
             pool.time += 0.001
@@ -230,7 +230,7 @@
             assert all(held == document(s) for s, held in lease.docs.items() if s > 1)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
-                assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= at + constants.SHORT_LEASE_S + 1e-9
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -27,7 +27,7 @@
 
 
 def ask(pool, lease):
-    lease.ask()
+    lease.request_lease()
     return pool.waiting.pop()[3]
 
 
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -56,7 +56,7 @@
     duty.activation_allowed_at -= 10
     leases = [lease_module.Lease(all_orders.ManualEnvironment(pool, f"r:{n}"), lambda: ["a:1"]) for n in range(routers)]
     for lease in leases:
-        lease.ask()
+        lease.request_lease()
     while pool.waiting:
         pool.deliver(0)
     assert [lease.sequence() for lease in leases] == [1] * routers
@@ -79,7 +79,7 @@
         duty.machine.apply(0, stage(base, base + 1, f"order {base}"))
         pool.waiting.clear()  # the router is cut off
     pool.time += 2.0
-    leases[0].ask()
+    leases[0].request_lease()
     pool.deliver(0)
     assert documents_sent(pool) == [30]
 
@@ -87,12 +87,12 @@
 def test_a_document_on_its_way_is_not_sent_again_until_it_may_be_lost():
     pool, duty, leases = deployment(1)
     duty.machine.apply(0, stage(1, 2, "order 1"))
-    leases[0].ask()
+    leases[0].request_lease()
     pool.deliver(1)  # the ask overtakes nothing: the grant that follows carries no second copy
     assert documents_sent(pool) == [2]
     pool.waiting.clear()
     pool.time += constants.DOCUMENT_RESEND_S
-    leases[0].ask()
+    leases[0].request_lease()
     pool.deliver(0)
     assert documents_sent(pool) == [2]
 
@@ -100,7 +100,7 @@
 def test_an_acknowledgement_is_not_forgotten_over_an_older_ask():
     pool, duty, leases = deployment(1)
     duty.member.hold = True
-    leases[0].ask()
+    leases[0].request_lease()
     pool.deliver(0)  # asked before anything new is staged; the majority's answer takes its time
     duty.machine.apply(0, stage(1, 2, "order 1"))
     duty.leaseholders["r:0"].staged = 2
@@ -121,14 +121,14 @@
         pool.deliver(0)
     assert duty.machine.active == 2
     pool.time += constants.DOCUMENT_RESEND_S
-    leases[0].ask()
+    leases[0].request_lease()
     while pool.waiting:
         pool.deliver(0)
     assert duty.machine.active == 2 and leases[0].sequence() == 2
     for _turn in range(4):
         pool.time += 0.06
         for lease in leases:
-            lease.ask()
+            lease.request_lease()
         while pool.waiting:
             pool.deliver(0)
     assert duty.machine.active == 3 and [lease.sequence() for lease in leases] == [3, 3]
@@ -155,7 +155,7 @@
         elif act == "lose" and pool.waiting:
             pool.waiting.pop(0)
         elif act.startswith("ask"):
-            leases[int(act[-1])].ask()
+            leases[int(act[-1])].request_lease()
         elif act in ("wait", "long"):
             pool.time += 0.06 if act == "wait" else 0.5
             duty.try_activate()
@@ -163,10 +163,10 @@
             activated.setdefault(number, pool.time)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
-                assert lease.until <= at + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= at + constants.SHORT_LEASE_S + 1e-9
 
 
 class TimedEnvironment(all_orders.ManualEnvironment):
@@ -195,22 +195,22 @@
 
 
 def grant(lease, length, active, docs=()):
-    return {"mark": lease.mark, "length": length, "active": active, "docs": list(docs), "number": 1}
+    return {"mark": lease.request_mark, "length": length, "active": active, "docs": list(docs), "number": 1}
 
 
 def test_a_staged_document_and_an_activation_renew_the_lease_at_once():
     pool, lease = timed_lease()
     for news in ({"number": 2, "docs": [[2, {"n": 2}]], "active": 1}, {"number": 3, "docs": [], "active": 2}):
-        asked = lease.mark
+        asked = lease.request_mark
         lease.on_news("a:1", news)
-        assert lease.mark == asked + 1 and len(lease.environment.due) == 1
+        assert lease.request_mark == asked + 1 and len(lease.environment.due) == 1
         pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     assert lease.active == 2
 
 
 def test_after_a_short_grant_the_next_ask_comes_within_the_short_beat():
     pool, lease = timed_lease()
-    lease.ask()
+    lease.request_lease()
     lease.on_grant("a:1", grant(lease, constants.SHORT_LEASE_S, 1))
     assert [entry.at - pool.time <= constants.SHORT_LEASE_RENEWAL_INTERVAL_S for entry in lease.environment.due] == [
         True
@@ -219,7 +219,7 @@
 
 def test_however_much_news_comes_at_once_one_ask_goes_out():
     pool, lease = timed_lease()
-    asked = lease.mark
+    asked = lease.request_mark
     for number in range(2, 40):
         lease.on_news("a:1", {"number": number, "docs": [[number, {}]], "active": number - 1})
-    assert lease.mark == asked + 1 and len(lease.environment.due) == 1
+    assert lease.request_mark == asked + 1 and len(lease.environment.due) == 1
--- a/tests/test_lease_storm.py
+++ b/tests/test_lease_storm.py
@@ -42,9 +42,9 @@
     f = sim.SimFleet(f"asks-{gap}", routers=2, replicas=2)
     f.ready()
     lease = f.parts["route-1"].lease
-    before, began = lease.mark, f.loop.time
+    before, began = lease.request_mark, f.loop.time
     storm(f, 20, gap)
-    assert lease.mark - before <= (f.loop.time - began) / constants.SHORT_LEASE_RENEWAL_INTERVAL_S + 1
-    before = lease.mark
+    assert lease.request_mark - before <= (f.loop.time - began) / constants.SHORT_LEASE_RENEWAL_INTERVAL_S + 1
+    before = lease.request_mark
     f.run(5)
-    assert lease.mark - before <= 5 / constants.LEASE_RENEWAL_INTERVAL_S + 1
+    assert lease.request_mark - before <= 5 / constants.LEASE_RENEWAL_INTERVAL_S + 1
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -167,7 +167,7 @@
         duty.member.machine.active = 1
         duty.start()
         duty.activation_allowed_at -= 10
-        lease.ask()
+        lease.request_lease()
         while pool.waiting:
             pool.deliver(0)
         assert lease.sequence() == 1
@@ -180,7 +180,7 @@
             elif act == "lose" and pool.waiting:
                 pool.waiting.pop(0)
             elif act == "ask":
-                lease.ask()
+                lease.request_lease()
             elif act.startswith("wait"):
                 for _ in range(4):
                     pool.time += (0.5 if act == "wait-long" else 0.06) / 4
@@ -188,7 +188,7 @@
             if duty.machine.active == 2 and active_at is None:
                 active_at = pool.time
             if active_at is not None and lease.active == 1:
-                assert lease.until <= active_at + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= active_at + constants.SHORT_LEASE_S + 1e-9
         seen.add((duty.machine.active, lease.active))
     assert seen >= {(1, 1), (2, 1), (2, 2)}
 
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -64,7 +64,7 @@
     duty.activation_allowed_at = pool.time + 100
     pool.time += duty.bounds.older_lease_window_s + 0.1
     for _turn in range(3):
-        leases[0].ask()
+        leases[0].request_lease()
         pool.deliver(0)
     (row,) = of_kind(written, "older_leases_withheld")
     assert (row["latest"], row["active"], row["without"]) == (2, 1, ["r:0"])
@@ -73,13 +73,13 @@
 def test_a_lease_that_is_back_tells_what_became_of_the_asks(written):
     pool = all_orders.Pool()
     lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
-    lease.ask()
+    lease.request_lease()
     lease.on_grant("a:1", lease_state.grant(lease, constants.LONG_LEASE_S, 1, [[1, {"n": 1}]]))
     pool.time += constants.LONG_LEASE_S + 1.0
-    lease.ask()
+    lease.request_lease()
     lease.on_look_elsewhere("a:1", {"leader": "b:1"})
     lease.on_grant("b:1", lease_state.grant(lease, 0.0, 1))
-    lease.ask()
+    lease.request_lease()
     lease.on_grant("b:1", lease_state.grant(lease, constants.LONG_LEASE_S, 1))
     (row,) = of_kind(written, "lease_back")
     assert (row["sent"], row["redirected"], row["empty_grants"]) == (3, 1, 1)
--- a/tools/simulator/days_of_cuts.py
+++ b/tools/simulator/days_of_cuts.py
@@ -41,7 +41,7 @@
 
     def leased():
         lease = f.parts[name].lease
-        if lease.until - f.loop.time > 1.39:
+        if lease.valid_until - f.loop.time > 1.39:
             f.net.split([name], f.names("keep"))
             f.operator(lambda: f.apply("staged-then-dead"))
             watch()
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -46,8 +46,8 @@
     "the lease is checked before a send": (
         weakened.put(
             lease.Lease,
-            sequence=lambda self: self.view[0] if self.view[2] else None,
-            current=lambda self: (self.view[0], self.view[2]) if self.view[2] else (None, None),
+            sequence=lambda self: self.published[0] if self.published[2] else None,
+            current=lambda self: (self.published[0], self.published[2]) if self.published[2] else (None, None),
         ),
         "core_cut",
         "new after ack",
