--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,8 +7,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.member as member_module
 import mothshed.control_plane.service_part as service_part
 import tests.all_orders as all_orders
@@ -161,13 +161,13 @@
     seen = set()
     for order in sorted(set(all_orders.orders(acts))):
         pool = all_orders.Pool()
-        duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+        duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
         lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
         duty.member.machine.apply(0, stage(0))
         duty.member.machine.active = 1
         duty.start()
-        duty.activates_from -= 10
-        lease.ask()
+        duty.activation_allowed_at -= 10
+        lease.request_lease()
         while pool.waiting:
             pool.deliver(0)
         assert lease.sequence() == 1
@@ -180,7 +180,7 @@
             elif act == "lose" and pool.waiting:
                 pool.waiting.pop(0)
             elif act == "ask":
-                lease.ask()
+                lease.request_lease()
             elif act.startswith("wait"):
                 for _ in range(4):
                     pool.time += (0.5 if act == "wait-long" else 0.06) / 4
@@ -188,7 +188,7 @@
             if duty.machine.active == 2 and active_at is None:
                 active_at = pool.time
             if active_at is not None and lease.active == 1:
-                assert lease.until <= active_at + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= active_at + constants.SHORT_LEASE_S + 1e-9
         seen.add((duty.machine.active, lease.active))
     assert seen >= {(1, 1), (2, 1), (2, 2)}
 
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -38,7 +38,14 @@
     "usage": ("LoadReporter.tick", "usages"),
     "usage duty": ("usage",),
     "order duty": ("OrderTask.tick",),
-    "configuration and agreement": ("ask", "news_ack", "ConfigDuty.tick", "append", "append_say", "Election.tick"),
+    "configuration and agreement": (
+        "ask",
+        "news_ack",
+        "ConfigLeaderTask.tick",
+        "append",
+        "append_say",
+        "Election.tick",
+    ),
 }
 
 
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -49,16 +49,16 @@
 def stage_anyway(self, index, command):
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
-    self.drop_documents()
+    self.drop_old_documents()
     self.changed("stage", self.latest)
     return {"sequence": self.latest}
 
 
 def activate_at_once(self):
     m = self.machine
-    if self.on and m.latest > m.active and not self.asking:
-        self.asking = True
-        self.member.propose({"op": "activate", "sequence": m.latest}, self.activated)
+    if self.leading and m.latest > m.active and not self.activation_proposed:
+        self.activation_proposed = True
+        self.member.propose({"op": "activate", "sequence": m.latest}, self.activation_finished)
 
 
 def take_level(self, index, command):
