--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -13,7 +13,7 @@
 import mothshed.replicas.verdict as verdict
 
 
-class Ticket:
+class QueueEntry:
     def __init__(self, tenant, share, event):
         self.tenant, self.share, self.event = tenant, share, event
 
@@ -23,71 +23,74 @@
         self.environment = environment
         self.lock = threading.RLock()
         self.queues = collections.OrderedDict()  # tenant -> deque of tickets
-        self.spent = {}  # tenant -> service taken per share
-        self.floor = 0.0
+        self.finish_tags = {}  # tenant -> service taken per share
+        self.virtual_time = 0.0
 
-    def waiting(self):
+    def queued_count(self):
         return sum(len(q) for q in self.queues.values())
 
-    def enter(self, request, share, make_plan, again=False):
+    def admit(self, request, share, make_plan, readmission=False):
         """Waits for make_plan() to give a plan while at the head. Raises Rejection.
 
         again: it was admitted before and its first send was bounced; it waits anew, first
         of its tenant and past the bounds.
         """
-        until = min((self.environment.now() if again else request.born) + constants.MAX_QUEUE_WAIT_S, request.cutoff)
+        deadline = min(
+            (self.environment.now() if readmission else request.born) + constants.MAX_QUEUE_WAIT_S, request.cutoff
+        )
         with self.lock:
-            if not self.waiting():
-                plan = self.take(request.tenant, share, make_plan)
+            if not self.queued_count():
+                plan = self.try_plan(request.tenant, share, make_plan)
                 if plan:
                     return plan
             queue = self.queues.setdefault(request.tenant, collections.deque())
-            if not again and (
-                self.waiting() >= constants.MAX_QUEUED_REQUESTS or len(queue) >= constants.MAX_TENANT_QUEUED_REQUESTS
+            if not readmission and (
+                self.queued_count() >= constants.MAX_QUEUED_REQUESTS
+                or len(queue) >= constants.MAX_TENANT_QUEUED_REQUESTS
             ):
                 raise verdict.Rejection(503, "queue is full", constants.RETRY_AFTER_S, "queue_full")
-            ticket = Ticket(request.tenant, share, self.environment.new_event())
-            queue.insert(0 if again else len(queue), ticket)
+            entry = QueueEntry(request.tenant, share, self.environment.new_event())
+            queue.insert(0 if readmission else len(queue), entry)
         try:
-            return self.wait(until, ticket, make_plan)
+            return self.wait(deadline, entry, make_plan)
         finally:
             with self.lock:
                 queue = self.queues.get(request.tenant, ())
-                if ticket in queue:
-                    queue.remove(ticket)
+                if entry in queue:
+                    queue.remove(entry)
                 if not queue:
                     self.queues.pop(request.tenant, None)
-            self.nudge()
+            self.wake_head()
 
-    def wait(self, until, ticket, make_plan):
+    def wait(self, deadline, entry, make_plan):
         while True:
             with self.lock:
-                if self.head() is ticket:
-                    plan = self.take(ticket.tenant, ticket.share, make_plan)
+                if self.next_entry() is entry:
+                    plan = self.try_plan(entry.tenant, entry.share, make_plan)
                     if plan:
                         return plan
-            if self.environment.now() >= until:
+            if self.environment.now() >= deadline:
                 raise verdict.Rejection(503, "no free pair of replicas", constants.RETRY_AFTER_S, "no_pair")
-            ticket.event.clear()
-            ticket.event.wait(min(constants.PLACEMENT_INTERVAL_S, max(0.001, until - self.environment.now())))
+            entry.event.clear()
+            entry.event.wait(min(constants.PLACEMENT_INTERVAL_S, max(0.001, deadline - self.environment.now())))
 
-    def head(self):
+    def next_entry(self):
         tenants = [t for t, q in self.queues.items() if q]
         if not tenants:
             return None
-        return self.queues[min(tenants, key=lambda t: (max(self.floor, self.spent.get(t, 0.0)), t))][0]
+        return self.queues[min(tenants, key=lambda t: (max(self.virtual_time, self.finish_tags.get(t, 0.0)), t))][0]
 
-    def take(self, tenant, share, make_plan):
+    def try_plan(self, tenant, share, make_plan):
         plan = make_plan()
         if plan:
-            start = max(self.floor, self.spent.get(tenant, 0.0))
-            self.spent[tenant] = start + 1.0 / share
-            self.floor = start if self.waiting() else max(self.spent.values())
+            start_tag = max(self.virtual_time, self.finish_tags.get(tenant, 0.0))
+            self.finish_tags[tenant] = start_tag + 1.0 / share
+            self.virtual_time = start_tag if self.queued_count() else max(self.finish_tags.values())
         return plan
 
-    def nudge(self):
+    def wake_head(self):
         """Something became free: the head may look again."""
         with self.lock:
-            ticket = self.head()
-            if ticket:
-                ticket.event.set()
+            entry = self.next_entry()
+            if entry:
+                entry.event.set()
--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -87,7 +87,7 @@
         cost = sum(1 for n in self.sends.values() if n)
         until = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
         while self.environment.now() < self.request.cutoff:
-            if self.router.budget.extra(cost):
+            if self.router.retry_budget.take_or_borrow(cost):
                 return True
             if self.environment.now() >= until:
                 return False
@@ -122,7 +122,7 @@
 
         try:
             tenant = (router.lease.document() or {}).get("tenants", {}).get(request.tenant, {"share": 1})
-            return router.admission.enter(request, tenant["share"], make_plan, bool(self.tries))
+            return router.admission.admit(request, tenant["share"], make_plan, bool(self.tries))
         except verdict.Rejection as e:
             if self.ran:
                 self.fails.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)))
@@ -137,13 +137,13 @@
             self.prefill(plan)
             replicas.end(self.reading)
             self.reading = None
-            self.router.admission.nudge()
+            self.router.admission.wake_head()
             yield from self.relay(self.decode(plan))
         finally:
             for name in (self.reading, self.writing):
                 if name:
                     replicas.end(name)
-            self.router.admission.nudge()
+            self.router.admission.wake_head()
 
     def relay(self, parts):
         stream, row, rows = parts
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -31,7 +31,7 @@
                 return False
             self.note_caller("sent_after_caller_left", role)
             if not (self.prefills or self.decodes):
-                self.router.budget.sent()
+                self.router.retry_budget.record_request()
             if role == "prefill":
                 self.prefills += 1
             else:
@@ -93,7 +93,7 @@
         extra = self.counted > 0 if role == "decode" else self.prefills > 0
         if role == "decode" and self.decodes + self.shed >= self.route["tries"]:
             self.give_in("as many replicas were asked as the route allows")
-        if extra and not self.router.budget.extra():
+        if extra and not self.router.retry_budget.take_or_borrow():
             self.give_in("retry budget is spent")
 
     def reader_left(self):
@@ -173,7 +173,7 @@
         if not (self.handle and e.rejected and e.verdict is NOT_RUN):
             return False
         room = self.router.placing.running(pair.writer.name) <= self.router.replicas.rows[pair.writer.name]["slots"]
-        return room and self.staying(pair.writer) and self.router.budget.extra()
+        return room and self.staying(pair.writer) and self.router.retry_budget.take_or_borrow()
 
     def drop_handle(self, e: verdict.SendFailure) -> None:
         """The hand-over of a prompt failed: its memory is freed, and the failed send counts as none of a replica."""
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -7,11 +7,11 @@
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.budget as budget
 import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
+import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
@@ -45,7 +45,7 @@
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
         self.admission = admission.Admission(environment)
-        self.budget = budget.Budget(
+        self.retry_budget = retry_budget.RetryBudget(
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
         self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
@@ -134,9 +134,9 @@
             "active": self.lease.active,
             "staged": self.lease.staged,
             "flight": self.flight,
-            "waiting": self.admission.waiting(),
+            "waiting": self.admission.queued_count(),
             "frees_left": self.frees.left(),
-            "extra_sends_left": self.budget.left(),
+            "extra_sends_left": self.retry_budget.rounded_available(),
             "kept_for_neighbours": len(self.guard.kept),
             "process": self.environment.figures(),
             "releases": self.environment.releases(),
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -81,7 +81,7 @@
             if self.router.lease.sequence() != sequence:
                 return False
             if not any(self.sends.values()):
-                self.router.budget.sent()
+                self.router.retry_budget.record_request()
             self.sends[role] += 1
             return True
 
@@ -190,7 +190,7 @@
                 if e.reason == web.NOT_READY:
                     continue
                 again = e.verdict is NOT_RUN and not e.gone
-                while again and not self.router.budget.extra(int(self.sends["decode"] > 0)):
+                while again and not self.router.retry_budget.take_or_borrow(int(self.sends["decode"] > 0)):
                     again = self.environment.now() < until
                     self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                 if not again:
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -180,7 +180,7 @@
         }
         self.router = router_module.Router(self.environment, settings, speech)
         self.router.lease = self.lease
-        self.router.budget.born -= 100  # old enough to use its part of the slack
+        self.router.retry_budget.started_at -= 100  # old enough to use its part of the slack
         self.router.replicas.silent = self.router.replicas.ask_span = 0.02  # nobody reads the list for it
         self.router.replicas.fresh_at = self.environment.now()  # and it does not wait for that first
         self.router.run()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,7 +1,7 @@
 """The retry budget over a fleet: no order of loans spends more than was earned, and loans do help."""
 
 import mothshed.constants as constants
-import mothshed.data_plane.budget as budget
+import mothshed.data_plane.retry_budget as retry_budget
 import tests.all_orders as all_orders
 import tools.simulate as simulate
 
@@ -26,13 +26,15 @@
     def make():
         pool = all_orders.Pool()
         names = ["a", "b", "c"]
-        routers = {n: budget.Budget(Environment(pool, n), lambda n=n: [m for m in names if m != n]) for n in names}
+        routers = {
+            n: retry_budget.RetryBudget(Environment(pool, n), lambda n=n: [m for m in names if m != n]) for n in names
+        }
         for n in names:
             for _ in range(4):
-                routers[n].sent()  # 0.72 each: none alone can pay for one
+                routers[n].record_request()  # 0.72 each: none alone can pay for one
         spent = [0]
         for n in ("a", "b"):
-            spent[0] += routers[n].extra()
+            spent[0] += routers[n].take_or_borrow()
         return pool, (routers, spent)
 
     def check(case):
@@ -48,11 +50,11 @@
 
 def test_a_loan_unused_is_lost_and_a_late_or_foreign_answer_gives_nothing():
     pool = all_orders.Pool()
-    one = budget.Budget(Environment(pool, "a"), lambda: ["b"])
-    assert not one.extra()
+    one = retry_budget.RetryBudget(Environment(pool, "a"), lambda: ["b"])
+    assert not one.take_or_borrow()
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
     pool.time += constants.LOAN_TTL_S + 0.01
-    assert not one.extra()  # lapsed; asks anew under the next mark
+    assert not one.take_or_borrow()  # lapsed; asks anew under the next mark
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 5.0})
     pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": -5.0})
     assert not one.take(1)
@@ -64,9 +66,9 @@
     """Each life may end right after it has spent all it has; no window sees the slack twice."""
     pool, spent = all_orders.Pool(), []
     for life in range(5):
-        one = budget.Budget(Environment(pool, f"a{life}"), lambda: [], slack=50.0, sharers=lambda: 5)
+        one = retry_budget.RetryBudget(Environment(pool, f"a{life}"), lambda: [], slack=50.0, count_routers=lambda: 5)
         before = len(spent)
-        while one.room() >= 1 or len(spent) == before:
+        while one.available() >= 1 or len(spent) == before:
             if one.take(1):
                 spent.append(pool.time)
             pool.time += 0.01
--- a/tests/test_keys_of_our_interface.py
+++ b/tests/test_keys_of_our_interface.py
@@ -137,8 +137,8 @@
 def hold_back(fleet, monkeypatch):
     """No plan is made until this is called."""
     held = [True]
-    former = fleet.router.admission.take
-    monkeypatch.setattr(fleet.router.admission, "take", lambda *order: None if held[0] else former(*order))
+    former = fleet.router.admission.try_plan
+    monkeypatch.setattr(fleet.router.admission, "try_plan", lambda *order: None if held[0] else former(*order))
     monkeypatch.setattr(constants, "MAX_QUEUE_WAIT_S", 5.0)
 
     def go_on():
--- a/tests/test_platform_faults.py
+++ b/tests/test_platform_faults.py
@@ -79,10 +79,10 @@
     host, replicas = site.service("ddd", engine=False, kind="once_only", tries=3, facts=PLAIN)
     for replica in replicas:
         replica.always = {"bounce": 503}
-    monkeypatch.setattr(site.router.budget, "slack", 0.0)
-    site.router.budget.more.append((site.environment.now(), len(site.router.budget.first)))
+    monkeypatch.setattr(site.router.retry_budget, "slack", 0.0)
+    site.router.retry_budget.spent.append((site.environment.now(), len(site.router.retry_budget.request_times)))
     own, answer = site.ask(host, prompt=False)
-    site.router.budget.more.clear()
+    site.router.retry_budget.spent.clear()
     assert answer.status == 503 and answer.headers["Retry-After"] and platform_site.asked(replicas) == 1
 
 
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -10,10 +10,10 @@
 import mothshed.control_plane.replication as replication
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.budget as budget
 import mothshed.data_plane.carry as carry
 import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
+import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.router as router
 import mothshed.replicas.known_replicas as replicas
 import mothshed.replicas.replica_adapter as replica_adapter
@@ -108,7 +108,7 @@
         "leaving",
     ),
     "extra sends have a budget": (
-        weakened.put(budget.Budget, extra=lambda self, count=1: True),
+        weakened.put(retry_budget.RetryBudget, take_or_borrow=lambda self, count=1: True),
         "replicas_bounce",
         "few extras",
     ),
@@ -126,7 +126,7 @@
     "tenants are queued fairly": (weakened.first_come_first_served, "tenant_rush", "none starved"),
     "a free place is not refused": (weakened.put(carry.Carry, admit=weakened.reject_some), "calm", "in time"),
     "given-up requests are answered at once": (
-        weakened.put(admission.Admission, enter=weakened.reject_late),
+        weakened.put(admission.Admission, admit=weakened.reject_late),
         "calm",
         "answered at once",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -80,7 +80,7 @@
     TAKE_LIST(self, {n: {**r, "leaving": False} for n, r in rows.items()})
 
 
-def reject_late(self, request, share, make_plan, again=False):
+def reject_late(self, request, share, make_plan, readmission=False):
     self.environment.sleep(5.0)
     raise verdict.Rejection(503, "late", 1)
 
@@ -112,7 +112,7 @@
     return min(rows, key=lambda t: t.born, default=None)
 
 
-def ticket(self, tenant, share, event):
+def numbered_entry(self, tenant, share, event):
     self.tenant, self.share, self.event = tenant, share, event
     TICKETS.append(None)
     self.born = len(TICKETS)
@@ -121,8 +121,8 @@
 def first_come_first_served():
     """All queues as one, unbounded per tenant, as a plain queue would be."""
     stack = contextlib.ExitStack()
-    stack.enter_context(put(admission.Admission, head=first_come)())
-    stack.enter_context(put(admission.Ticket, __init__=ticket)())
+    stack.enter_context(put(admission.Admission, next_entry=first_come)())
+    stack.enter_context(put(admission.QueueEntry, __init__=numbered_entry)())
     stack.enter_context(put(constants, MAX_TENANT_QUEUED_REQUESTS=constants.MAX_QUEUED_REQUESTS)())
     return stack
 
