--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -41,7 +41,7 @@
 
     def let_go(self):
         if self.handle:
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
             self.handle = None
 
     def rounds(self):
--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -83,7 +83,7 @@
 
     def let_go(self):
         if self.handle:
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
         if self.reply:
             self.note_caller("worked_after_caller_left", "decode")
             self.reply.close()
@@ -185,7 +185,7 @@
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), name) from e
         self.router.placing.read(pair)
         if self.handle:  # the pull is done
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
             self.handle = None
         self.router.replicas.served(name)
         self.router.placing.outcomes.answered(name)
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -178,7 +178,7 @@
     def drop_handle(self, e: verdict.SendFailure) -> None:
         """The hand-over of a prompt failed: its memory is freed, and the failed send counts as none of a replica."""
         self.fails.append(e)
-        self.router.frees.order(self.handle)
+        self.router.handle_releases.enqueue(self.handle)
         self.handle = None
         self.decodes -= 1  # the route's tries count replicas, and it is the same one
         self.router.journal.add(
--- a/mothshed/data_plane/guard.py
+++ b/mothshed/data_plane/guard.py
@@ -15,11 +15,16 @@
 
 
 class Guard:
-    def __init__(self, environment, gossip, frees, journal):
-        self.environment, self.gossip, self.frees, self.journal = environment, gossip, frees, journal
+    def __init__(self, environment, gossip, handle_releases, journal):
+        self.environment, self.gossip, self.handle_releases, self.journal = (
+            environment,
+            gossip,
+            handle_releases,
+            journal,
+        )
         self.kept = collections.OrderedDict()  # (router, request, replica) -> (due, url, engine)
         self.goal = ""
-        frees.settled = self.paid
+        handle_releases.notify_finished = self.paid
         environment.subscribe("owe", self.on_owe)
         environment.subscribe("paid", self.on_paid)
         environment.post(self.tick)
@@ -55,5 +60,7 @@
         for key in [k for k, row in self.kept.items() if row[0] <= now]:
             due, url, engine = self.kept.pop(key)
             self.journal.add("guard", outcome="freed", replica=key[2])
-            self.frees.order(replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now))
+            self.handle_releases.enqueue(
+                replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now)
+            )
         self.environment.call_later(constants.BACKUP_RELEASE_INTERVAL_S, self.tick)
--- a/mothshed/data_plane/frees.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -13,16 +13,16 @@
 import mothshed.replicas.replica_adapter as replica_adapter
 
 
-class Frees:
-    def __init__(self, environment, journal, free=None):
+class HandleReleases:
+    def __init__(self, environment, journal, release_handle=None):
         self.environment, self.journal = environment, journal
-        self.free = free or replica_adapter.free
+        self.release_handle = release_handle or replica_adapter.free
         self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
-        self.late = []  # (due, pause, handle): failed once, tried again
+        self.retries = []  # (due, pause, handle): failed once, tried again
         self.event = environment.new_event()
-        self.settled = lambda handle: None  # told once a free is done or pointless
+        self.notify_finished = lambda handle: None  # told once a free is done or pointless
 
-    def order(self, handle):
+    def enqueue(self, handle):
         self.queue.append(handle)
         self.event.set()
 
@@ -31,23 +31,23 @@
             self.event.wait(constants.HANDLE_RELEASE_RETRY_INTERVAL_S)
             self.event.clear()
             now = self.environment.now()
-            due = [row[1:] for row in self.late if row[0] <= now]
-            self.late = [row for row in self.late if row[0] > now]
+            due = [entry[1:] for entry in self.retries if entry[0] <= now]
+            self.retries = [entry for entry in self.retries if entry[0] > now]
             while self.queue:
                 due.append((constants.HANDLE_RELEASE_RETRY_INTERVAL_S, self.queue.popleft()))
-            for span, handle in due:
-                self.send(handle, span)
+            for delay, handle in due:
+                self.release(handle, delay)
 
-    def send(self, handle, span):
+    def release(self, handle, delay):
         try:
-            done = self.free(self.environment, handle)
+            done = self.release_handle(self.environment, handle)
         except web.WebFault:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
         if done or self.environment.now() - handle.born >= constants.HANDLE_RELEASE_TTL_S:
-            self.settled(handle)
+            self.notify_finished(handle)
         else:
-            self.late.append((self.environment.now() + span, 2 * span, handle))
+            self.retries.append((self.environment.now() + delay, 2 * delay, handle))
 
-    def left(self):
-        return len(self.queue) + sum(row[2].heard for row in self.late)
+    def count_pending(self):
+        return len(self.queue) + sum(entry[2].heard for entry in self.retries)
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -7,8 +7,8 @@
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
+import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.retry_budget as retry_budget
@@ -48,14 +48,16 @@
         self.retry_budget = retry_budget.RetryBudget(
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
-        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
+        self.handle_releases = handle_releases.HandleReleases(
+            environment, self.journal, (speech or replica_adapter).free
+        )
         self.placing = placing.Placing(environment, self.replicas, self.cell)
         self.tables = routes.Tables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
             self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
-        self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
+        self.guard = guard.Guard(environment, self.gossip, self.handle_releases, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
@@ -63,7 +65,7 @@
 
     def run(self):
         self.replicas.run()
-        self.environment.spawn(self.frees.run)
+        self.environment.spawn(self.handle_releases.run)
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     @contextlib.contextmanager
@@ -112,7 +114,12 @@
 
     def busy(self):
         """Whether a request or its answer is under way, or a free is left to be sent."""
-        return self.flight > 0 or self.frees.left() > 0 or self.server is not None and self.server.exchanging()
+        return (
+            self.flight > 0
+            or self.handle_releases.count_pending() > 0
+            or self.server is not None
+            and self.server.exchanging()
+        )
 
     def ready(self):
         """Whether new user agents are welcome."""
@@ -135,7 +142,7 @@
             "staged": self.lease.staged,
             "flight": self.flight,
             "waiting": self.admission.queued_count(),
-            "frees_left": self.frees.left(),
+            "frees_left": self.handle_releases.count_pending(),
             "extra_sends_left": self.retry_budget.rounded_available(),
             "kept_for_neighbours": len(self.guard.kept),
             "process": self.environment.figures(),
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -147,7 +147,7 @@
                 if e.verdict is NOT_RUN:
                     self.router.guard.paid(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
-                    self.router.frees.order(doubt)
+                    self.router.handle_releases.enqueue(doubt)
                 if e.reason != web.NOT_READY:  # else nothing was sent: under the newer one, or later
                     raise
         self.ran = True  # a prefill is a run
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -11,8 +11,8 @@
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
 import mothshed.data_plane.carry as carry
-import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
+import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.router as router
 import mothshed.replicas.known_replicas as replicas
@@ -112,7 +112,11 @@
         "replicas_bounce",
         "few extras",
     ),
-    "every handle is freed": (weakened.put(frees.Frees, order=lambda self, handle: None), "calm", "freed"),
+    "every handle is freed": (
+        weakened.put(handle_releases.HandleReleases, enqueue=lambda self, handle: None),
+        "calm",
+        "freed",
+    ),
     "a neighbour keeps a lost router's frees": (
         weakened.put(guard.Guard, owe=lambda self, request, place, left: None),
         "kill_router",
