--- a/mothshed/data_plane/guard.py
+++ b/mothshed/data_plane/backup_releases.py
@@ -14,7 +14,7 @@
 import mothshed.replicas.replica_adapter as replica_adapter
 
 
-class Guard:
+class BackupReleases:
     def __init__(self, environment, gossip, handle_releases, journal):
         self.environment, self.gossip, self.handle_releases, self.journal = (
             environment,
@@ -22,43 +22,49 @@
             handle_releases,
             journal,
         )
-        self.kept = collections.OrderedDict()  # (router, request, replica) -> (due, url, engine)
-        self.goal = ""
-        handle_releases.notify_finished = self.paid
+        self.entries = collections.OrderedDict()  # (router, request, replica) -> (due, url, engine)
+        self.backup_address = ""
+        handle_releases.notify_finished = self.cancel
         environment.subscribe("owe", self.on_owe)
         environment.subscribe("paid", self.on_paid)
         environment.post(self.tick)
 
-    def neighbour(self):
+    def choose_backup(self):
         """The router that keeps what we owe: the same one while it is in view, else another zone's first."""
         view = dict(self.gossip.view)
-        if self.goal not in view:
-            routers = sorted(a for a, r in view.items() if r["kind"] == "route")
-            away = [a for a in routers if view[a]["cell"] != self.gossip.cell]
-            self.goal = next(iter(away or routers), "")
-        return self.goal
+        if self.backup_address not in view:
+            addresses = sorted(a for a, r in view.items() if r["kind"] == "route")
+            in_other_zones = [a for a in addresses if view[a]["cell"] != self.gossip.cell]
+            self.backup_address = next(iter(in_other_zones or addresses), "")
+        return self.backup_address
 
-    def owe(self, request, place, left):
+    def register(self, request, replica, time_left):
         self.environment.send(
-            self.neighbour(), "owe", request=request, replica=place.name, url=place.url, engine=place.engine, left=left
+            self.choose_backup(),
+            "owe",
+            request=request,
+            replica=replica.name,
+            url=replica.url,
+            engine=replica.engine,
+            left=time_left,
         )
 
-    def paid(self, handle):
-        self.environment.send(self.goal, "paid", request=handle.request, replica=handle.replica)
+    def cancel(self, handle):
+        self.environment.send(self.backup_address, "paid", request=handle.request, replica=handle.replica)
 
     def on_owe(self, sender, body):
         due = self.environment.now() + min(body["left"], constants.MAX_CUTOFF_S) + constants.BACKUP_RELEASE_DELAY_S
-        self.kept[(sender, body["request"], body["replica"])] = (due, body["url"], body["engine"])
-        while len(self.kept) > constants.MAX_BACKUP_RELEASES:
-            self.kept.popitem(last=False)
+        self.entries[(sender, body["request"], body["replica"])] = (due, body["url"], body["engine"])
+        while len(self.entries) > constants.MAX_BACKUP_RELEASES:
+            self.entries.popitem(last=False)
 
     def on_paid(self, sender, body):
-        self.kept.pop((sender, body["request"], body["replica"]), None)
+        self.entries.pop((sender, body["request"], body["replica"]), None)
 
     def tick(self):
         now = self.environment.now()
-        for key in [k for k, row in self.kept.items() if row[0] <= now]:
-            due, url, engine = self.kept.pop(key)
+        for key in [k for k, entry in self.entries.items() if entry[0] <= now]:
+            due, url, engine = self.entries.pop(key)
             self.journal.add("guard", outcome="freed", replica=key[2])
             self.handle_releases.enqueue(
                 replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now)
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -7,7 +7,7 @@
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.guard as guard
+import mothshed.data_plane.backup_releases as backup_releases
 import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
@@ -57,7 +57,9 @@
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
             self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
-        self.guard = guard.Guard(environment, self.gossip, self.handle_releases, self.journal)
+        self.backup_releases = backup_releases.BackupReleases(
+            environment, self.gossip, self.handle_releases, self.journal
+        )
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
@@ -144,7 +146,7 @@
             "waiting": self.admission.queued_count(),
             "frees_left": self.handle_releases.count_pending(),
             "extra_sends_left": self.retry_budget.rounded_available(),
-            "kept_for_neighbours": len(self.guard.kept),
+            "kept_for_neighbours": len(self.backup_releases.entries),
             "process": self.environment.figures(),
             "releases": self.environment.releases(),
             "neighbours": sorted(self.gossip.view),
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -136,7 +136,7 @@
                 self.replan(plan, sequence, document)
                 continue
             left, name = self.left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0), self.name()
-            self.router.guard.owe(name, plan.reader, self.request.cutoff - self.environment.now())
+            self.router.backup_releases.register(name, plan.reader, self.request.cutoff - self.environment.now())
             try:
                 self.handle = replica_adapter.prefill(
                     self.environment, self.request, name, plan.reader, sequence, left, self.ready(sequence, "prefill")
@@ -145,7 +145,7 @@
             except verdict.SendFailure as e:
                 doubt = replica_adapter.unheard(self.environment, name, plan.reader)
                 if e.verdict is NOT_RUN:
-                    self.router.guard.paid(doubt)
+                    self.router.backup_releases.cancel(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
                     self.router.handle_releases.enqueue(doubt)
                 if e.reason != web.NOT_READY:  # else nothing was sent: under the newer one, or later
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -67,7 +67,7 @@
     broken = end_of_day.close(f)
     whole = sum(rows[-1]["end"] == "whole" for rows in recorded.asks(f.rows).values())
     tables = {
-        "kept for neighbours": max(len(f.parts[n].guard.kept) for n in f.names("route")),
+        "kept for neighbours": max(len(f.parts[n].backup_releases.entries) for n in f.names("route")),
         "frees left": max(f.parts[n].handle_releases.count_pending() for n in f.names("route")),
         "log entries": max(len(m.log.entries) for n in f.names("keep") for m in f.parts[n].members),
         "documents": max(len(f.parts[n].members[0].machine.docs) for n in f.names("keep")),
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -10,8 +10,8 @@
 import mothshed.control_plane.replication as replication
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
+import mothshed.data_plane.backup_releases as backup_releases
 import mothshed.data_plane.carry as carry
-import mothshed.data_plane.guard as guard
 import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.router as router
@@ -118,7 +118,7 @@
         "freed",
     ),
     "a neighbour keeps a lost router's frees": (
-        weakened.put(guard.Guard, owe=lambda self, request, place, left: None),
+        weakened.put(backup_releases.BackupReleases, register=lambda self, request, replica, time_left: None),
         "kill_router",
         "freed",
     ),
