--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -116,8 +116,8 @@
             if plan is None and self.without:
                 plan = planning.make(router.replicas, sequence, document, request, router.cell)
             if plan:
-                router.replicas.begin(plan.reader.name)
-                router.replicas.begin(plan.writer.name)
+                router.replicas.begin(plan.prefill_replica.name)
+                router.replicas.begin(plan.decode_replica.name)
             return plan
 
         try:
@@ -132,7 +132,7 @@
 
     def once(self, plan):
         replicas = self.router.replicas
-        self.reading, self.writing = plan.reader.name, plan.writer.name
+        self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
         try:
             self.prefill(plan)
             replicas.end(self.reading)
--- a/mothshed/data_plane/pairing.py
+++ b/mothshed/data_plane/pairing.py
@@ -12,68 +12,76 @@
 
 
 @dataclasses.dataclass
-class Scene:
-    keys: list  # the prompt's prefix keys, longest chain last
-    cell: str  # the router's own cell
-    readers: dict  # name -> condition
-    writers: dict
-    usage: dict  # name -> estimated requests there
-    cells: dict  # name -> cell
-    free: set  # names with a place for one more
+class Candidates:
+    prefix_keys: list  # the prompt's prefix keys, longest chain last
+    zone: str  # the router's own cell
+    prefill_replicas: dict  # name -> condition
+    decode_replicas: dict
+    load: dict  # name -> estimated requests there
+    zones: dict  # name -> cell
+    with_free_slot: set  # names with a place for one more
 
 
-def room(scene, names):
+def having_free_slot(candidates, names):
     """Those with a free place for one more."""
-    return [n for n in names if n in scene.free]
+    return [n for n in names if n in candidates.with_free_slot]
 
 
-def fill(scene, side, name):
-    return scene.usage[name] / max(1, side[name]["slots"])
+def load_ratio(candidates, replicas, name):
+    return candidates.load[name] / max(1, replicas[name]["slots"])
 
 
-def near(scene, name):
-    return 0 if scene.cells[name] == scene.cell else 1
+def zone_distance(candidates, name):
+    return 0 if candidates.zones[name] == candidates.zone else 1
 
 
-def least(scene, side):
-    names = room(scene, side)
-    return min(names, key=lambda n: (round(fill(scene, side, n), 1), near(scene, n), n), default=None)
+def least_loaded(candidates, replicas):
+    names = having_free_slot(candidates, replicas)
+    return min(
+        names,
+        key=lambda n: (round(load_ratio(candidates, replicas, n), 1), zone_distance(candidates, n), n),
+        default=None,
+    )
 
 
-def cached(scene, name):
+def cached_share(candidates, name):
     """Share of the prompt's blocks that a reader reports in its cache.
 
-    >>> s = Scene(["a", "b"], "", {"r": {"keys": ["a"]}}, {}, {}, {}, set())
-    >>> cached(s, "r")
+    >>> c = Candidates(["a", "b"], "", {"r": {"keys": ["a"]}}, {}, {}, {}, set())
+    >>> cached_share(c, "r")
     0.5
     """
-    if not scene.keys:
+    if not candidates.prefix_keys:
         return 0.0
-    keys, share = set(scene.readers[name]["keys"]), 0
-    for key in scene.keys:
-        if key not in keys:
+    cached_keys, share = set(candidates.prefill_replicas[name]["keys"]), 0
+    for key in candidates.prefix_keys:
+        if key not in cached_keys:
             break
         share += 1
-    return share / len(scene.keys)
+    return share / len(candidates.prefix_keys)
 
 
-def least_usage(scene):
-    return least(scene, scene.readers), least(scene, scene.writers)
+def least_loaded_pair(candidates):
+    return least_loaded(candidates, candidates.prefill_replicas), least_loaded(candidates, candidates.decode_replicas)
 
 
-def prefix_affinity(scene):
+def prefix_affinity(candidates):
     """Weighs a reader's cached share of the prompt against its usage."""
-    names = room(scene, scene.readers)
-    reader = min(
+    names = having_free_slot(candidates, candidates.prefill_replicas)
+    prefill_replica = min(
         names,
         default=None,
         key=lambda n: (
-            round(fill(scene, scene.readers, n) - constants.CACHE_WEIGHT_SLOTS * cached(scene, n), 1),
-            near(scene, n),
+            round(
+                load_ratio(candidates, candidates.prefill_replicas, n)
+                - constants.CACHE_WEIGHT_SLOTS * cached_share(candidates, n),
+                1,
+            ),
+            zone_distance(candidates, n),
             n,
         ),
     )
-    return reader, least(scene, scene.writers)
+    return prefill_replica, least_loaded(candidates, candidates.decode_replicas)
 
 
-POLICIES = {"least_usage": least_usage, "prefix_affinity": prefix_affinity}
+POLICIES = {"least_usage": least_loaded_pair, "prefix_affinity": prefix_affinity}
--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -16,8 +16,8 @@
     sequence: int  # configuration it was made under
     pool: str
     policy: str
-    reader: object  # Place of the prefill
-    writer: object  # Place of the decode
+    prefill_replica: object  # Place of the prefill
+    decode_replica: object  # Place of the decode
     steps: tuple = ("prefill", "decode", "free", "relay")
 
 
@@ -28,52 +28,54 @@
     return None
 
 
-def scene_for(replicas, document, rule, request, cell, without=()):
+def find_candidates(replicas, document, rule, request, zone, excluded=()):
     selector = document["pools"][rule["pool"]]["selector"]
-    readers = replicas.usable({**selector, **rule.get("prefill", {})}, "prefill")
-    writers = replicas.usable({**selector, **rule.get("decode", {})}, "decode")
-    readers = {n: c for n, c in readers.items() if n not in without}
-    writers = {n: c for n, c in writers.items() if n not in without}
-    both = {**readers, **writers}
-    return pairing.Scene(
+    prefill_replicas = replicas.usable({**selector, **rule.get("prefill", {})}, "prefill")
+    decode_replicas = replicas.usable({**selector, **rule.get("decode", {})}, "decode")
+    prefill_replicas = {n: c for n, c in prefill_replicas.items() if n not in excluded}
+    decode_replicas = {n: c for n, c in decode_replicas.items() if n not in excluded}
+    names = {**prefill_replicas, **decode_replicas}
+    return pairing.Candidates(
         replica_adapter.prefix_keys(request.prompt),
-        cell,
-        readers,
-        writers,
-        {n: replicas.usage(n) for n in both},
-        {n: replicas.rows[n]["cell"] for n in both},
-        {n for n in both if replicas.room(n)},
+        zone,
+        prefill_replicas,
+        decode_replicas,
+        {n: replicas.usage(n) for n in names},
+        {n: replicas.rows[n]["cell"] for n in names},
+        {n for n in names if replicas.room(n)},
     )
 
 
-def make(replicas, sequence, document, request, cell, without=()):
+def make(replicas, sequence, document, request, zone, excluded=()):
     """A Plan, or None while no pair has a free place."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return None
     with replicas.lock:
-        scene = scene_for(replicas, document, rule, request, cell, without)
-        reader, writer = pairing.POLICIES[rule["policy"]](scene)
-        if reader is None or writer is None:
+        candidates = find_candidates(replicas, document, rule, request, zone, excluded)
+        prefill_replica, decode_replica = pairing.POLICIES[rule["policy"]](candidates)
+        if prefill_replica is None or decode_replica is None:
             return None
-        return Plan(sequence, rule["pool"], rule["policy"], replicas.place(reader), replicas.place(writer))
+        return Plan(
+            sequence, rule["pool"], rule["policy"], replicas.place(prefill_replica), replicas.place(decode_replica)
+        )
 
 
-def writer_again(replicas, document, request, cell, without):
+def choose_decode_replica(replicas, document, request, zone, excluded):
     """A writer for a held handle, chosen anew; None if none has a place."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return None
     with replicas.lock:
-        scene = scene_for(replicas, document, rule, request, cell, without)
-        writer = pairing.least(scene, scene.writers)
-        return replicas.place(writer) if writer else None
+        candidates = find_candidates(replicas, document, rule, request, zone, excluded)
+        decode_replica = pairing.least_loaded(candidates, candidates.decode_replicas)
+        return replicas.place(decode_replica) if decode_replica else None
 
 
-def still_fits(replicas, document, request, place):
+def is_still_allowed(replicas, document, request, replica):
     """Whether a decode goal is still allowed under this document and list."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return False
     selector = document["pools"][rule["pool"]]["selector"]
-    return place.name in replicas.usable({**selector, **rule.get("decode", {})}, "decode")
+    return replica.name in replicas.usable({**selector, **rule.get("decode", {})}, "decode")
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -117,8 +117,8 @@
                 fresh = planning.make(replicas, sequence, document, request, self.router.cell, self.without)
                 if fresh:
                     plan.sequence, plan.pool, plan.policy = sequence, fresh.pool, fresh.policy
-                    plan.reader, plan.writer = fresh.reader, fresh.writer
-                    self.reading, self.writing = plan.reader.name, plan.writer.name
+                    plan.prefill_replica, plan.decode_replica = fresh.prefill_replica, fresh.decode_replica
+                    self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
                     replicas.begin(self.reading)
                     replicas.begin(self.writing)
                     return
@@ -136,14 +136,22 @@
                 self.replan(plan, sequence, document)
                 continue
             left, name = self.left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0), self.name()
-            self.router.backup_releases.register(name, plan.reader, self.request.cutoff - self.environment.now())
+            self.router.backup_releases.register(
+                name, plan.prefill_replica, self.request.cutoff - self.environment.now()
+            )
             try:
                 self.handle = replica_adapter.prefill(
-                    self.environment, self.request, name, plan.reader, sequence, left, self.ready(sequence, "prefill")
+                    self.environment,
+                    self.request,
+                    name,
+                    plan.prefill_replica,
+                    sequence,
+                    left,
+                    self.ready(sequence, "prefill"),
                 )
                 break
             except verdict.SendFailure as e:
-                doubt = replica_adapter.unheard(self.environment, name, plan.reader)
+                doubt = replica_adapter.unheard(self.environment, name, plan.prefill_replica)
                 if e.verdict is NOT_RUN:
                     self.router.backup_releases.cancel(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
@@ -159,8 +167,10 @@
         until = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
         while True:
             sequence, document = self.sequence()
-            if plan.writer is None or not planning.still_fits(replicas, document, self.request, plan.writer):
-                writer = planning.writer_again(replicas, document, self.request, self.router.cell, rejected)
+            if plan.decode_replica is None or not planning.is_still_allowed(
+                replicas, document, self.request, plan.decode_replica
+            ):
+                writer = planning.choose_decode_replica(replicas, document, self.request, self.router.cell, rejected)
                 if writer is None:  # the prompt is read: worth a wait for a place
                     if self.environment.now() >= until:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
@@ -169,7 +179,7 @@
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
                 replicas.end(self.writing)
-                plan.writer, self.writing = writer, writer.name
+                plan.decode_replica, self.writing = writer, writer.name
                 replicas.begin(self.writing)
                 if self.router.lease.sequence() != sequence:
                     continue
@@ -179,7 +189,7 @@
                     self.environment,
                     self.request,
                     self.name(),
-                    plan.writer,
+                    plan.decode_replica,
                     self.handle,
                     sequence,
                     self.left(),
@@ -197,7 +207,7 @@
                     raise
                 self.note(e)
                 rejected.add(e.replica)
-                plan.writer = None
+                plan.decode_replica = None
 
     def first(self, stream):
         """Pulls the first token: it shows that the pull is done, so the free is ordered."""
