--- a/mothshed/control_plane/commit_time_bounds.py
+++ b/mothshed/control_plane/commit_time_bounds.py
@@ -1,10 +1,10 @@
-"""What a follower can prove of the moment before which an entry was not committed.
+"""Lower bounds on commit times, as a follower can prove them on its own clock.
 
-A leader sends with each append its commit index, its newest round that a majority has echoed, and the
-newest round of this follower's own that it had heard. The last one bounds, on this follower's clock, when a
-round was sent: not before that echo. A majority that echoed a round had elected no later leader when that
-round was sent, and the append shows that this leader had not committed the entry either.
-A member that becomes leader can tell so for how long an inherited entry may have been acknowledged at most.
+Each append carries the leader's commit index, the newest round echoed by a majority, and the newest round
+echoed by this follower. The last one bounds when the append's round was sent: not before this follower sent
+that echo. A majority that echoed a round had elected no later leader when the round was sent, and the append
+shows that this leader had not committed a later entry either.
+A new leader thus knows how long ago an inherited entry can have been acknowledged at most.
 """
 
 import collections
@@ -13,23 +13,23 @@
 
 
 class CommitTimeBounds:
-    """Proofs from the appends of one leader, those of the newest term that was heard."""
+    """Bounds proven by the appends of one leader, that of the newest term received."""
 
     def __init__(self) -> None:
         self.term = 0
         self.reset()
 
     def reset(self) -> None:
-        """Drop all that an earlier leader's rounds have shown."""
-        self.echoed_at: dict[int, float] = {}  # round -> this member's clock when it was received
-        self.sent_after: dict[int, float] = {}  # round -> a moment at or before which it was not sent yet
+        """Discards what the rounds of an earlier leader have proven."""
+        self.echoed_at: dict[int, float] = {}  # round -> when it was received and echoed
+        self.sent_after: dict[int, float] = {}  # round -> a time until which it was certainly not sent
         self.proofs: collections.deque[tuple[int, float]] = collections.deque(maxlen=constants.MAX_COMMIT_PROOFS)
 
     def record_append(self, term: int, round_number: int, echoed: int, confirmed: int, commit: int, now: float) -> None:
-        """Take note of an append.
+        """Records an append received at time `now`.
 
-        echoed: the newest round whose echo by this member its sender had received; confirmed: the newest round
-        that a majority had echoed.
+        echoed: newest round of which the leader had received this member's echo. confirmed: newest round that a
+        majority had echoed.
         """
         if term != self.term:
             self.term = term
@@ -44,15 +44,15 @@
             self.add_bound(commit, proven_at)
 
     def add_bound(self, commit: int, proven_at: float) -> None:
-        """No entry past this index was committed before this moment."""
+        """Records that no entry after the index `commit` was committed before `proven_at`."""
         if self.proofs and self.proofs[-1][0] == commit:
             proven_at = max(proven_at, self.proofs.pop()[1])
         self.proofs.append((commit, proven_at))
 
     def not_committed_before(self, term: int, index: int) -> float | None:
-        """The latest moment, on this member's clock, before which an entry of this term surely was not committed.
+        """The latest time on this member's clock before which an entry of this term was certainly not committed.
 
-        None if nothing is known: the entry is of another leader than the last one heard.
+        None if nothing is known, for instance if the entry's term is not that of the last known leader.
         """
         if term != self.term:
             return None
--- a/mothshed/control_plane/election.py
+++ b/mothshed/control_plane/election.py
@@ -1,14 +1,15 @@
-"""Who leads a part: votes, terms, hand-over.
-
-A member stands when it has heard no leader for a random while, first in a trial
-round that changes no term, so that a member cut off and back disturbs nobody. It
-stands at the very moment its patience ends, and of two in a trial the one with the
-later name gives way: an asker's answer follows its own ask down one connection, so
-of two survivors only one goes on to the round that counts. No
-member gives a vote within VOTE_WITHHOLD_S of hearing a leader, nor within VOTE_WITHHOLD_S of
-its own start (its earlier promise may still hold); leases lean on that. Only a
-named successor of a stopping leader is let past the hold. A member outside its
-own view of the group, an empty or wiped one, never votes and never stands.
+"""Leader election: votes, terms and leadership transfer.
+
+A member starts an election when it has had no contact with a leader for a random election timeout. A pre-vote
+round comes first and changes no term, so that a member that returns after a partition disturbs nobody. The
+election starts exactly when the timeout ends, not at the next heartbeat. Of two members in a pre-vote the one
+with the greater id withdraws: its response to the other's request follows its own request on the same
+connection, so that of two remaining members only one goes on to the real election.
+
+No member grants a vote within VOTE_WITHHOLD_S after contact with a leader, nor within VOTE_WITHHOLD_S after its
+own start, since a promise from before the restart may still hold. Leases rely on this. Only the successor named
+in a leadership transfer is exempt. A member that is not in its own view of the group (its disk is empty or was
+wiped) neither votes nor starts elections.
 """
 
 import mothshed.constants as constants
@@ -16,12 +17,12 @@
 
 
 class Election:
-    """Candidacies, votes, terms and hand-over."""
+    """Mixin of Member: candidacies, votes, terms and leadership transfer."""
 
     def init_election(self):
         self.votes = set()
         self.pre_vote = False
-        self.last_vote_at = self.environment.now()  # last vote given or asked for
+        self.last_vote_at = self.environment.now()  # when a vote was last granted or requested
         self.pick_election_timeout()
 
     def pick_election_timeout(self):
@@ -57,7 +58,7 @@
             self.start_election(pre_vote=True)
 
     def withdraw_candidacy(self):
-        """Another one in a trial goes first; its answer to us counts no more."""
+        """Gives way to another member in its pre-vote; votes that still arrive are ignored."""
         self.votes, self.last_vote_at = set(), self.environment.now()
         self.pick_election_timeout()
 
@@ -112,7 +113,7 @@
             return
         if not body["trial"] and body["term"] != self.log.term:
             return
-        if self.votes:  # empty once it gave way
+        if self.votes:  # empty after this member withdrew
             self.votes.add(body["who"])
             self.count_votes()
 
@@ -125,13 +126,13 @@
             self.become_leader()
 
     def former_leases_end(self, lease_s: float) -> float:
-        """When every lease that earlier leaders granted, each for lease_s at most, has run out: on this member's clock.
+        """The time on this member's clock when all leases of earlier leaders, of at most lease_s each, have expired.
 
-        A lease counts from its ask, and its leader granted it only after a majority echoed a round sent later.
-        One of that majority is among those that elected this leader, and gave its vote no sooner than VOTE_WITHHOLD_S
-        after that echo (an earlier leader that steps down had gone without a majority's echoes for QUORUM_TIMEOUT_S,
-        which is no shorter). Votes for a successor that its leader named are given at once: then nothing is taken
-        off.
+        A lease runs from the time of its request, and the leader granted it only after a majority echoed a round
+        sent after that request. At least one member of that majority also voted for this leader, no sooner than
+        VOTE_WITHHOLD_S after that echo. An earlier leader that voted itself had first stepped down without echoes
+        from a majority for QUORUM_TIMEOUT_S, so the shorter of the two is subtracted. After a leadership transfer
+        votes are granted at once, so that nothing is subtracted.
         """
         withheld_s = 0.0 if self.by_transfer else min(constants.VOTE_WITHHOLD_S, constants.QUORUM_TIMEOUT_S)
         return float(self.elected_at) + lease_s - withheld_s + constants.LEASE_CLOCK_MARGIN_S
@@ -145,7 +146,7 @@
         self.propose({"op": "begin", "who": self.member_id}, self.begin_committed)
 
     def begin_committed(self, result):
-        """Own first entry committed: all earlier ones are known, duties may start."""
+        """Starts the leader tasks: this term's first entry is committed, and so is everything before it."""
         if result is not None and self.is_leader:
             self.ready = True
             elapsed_s = round(self.environment.now() - self.elected_at, 3)
@@ -167,7 +168,7 @@
             self.lose_leadership()
 
     def follow(self, body, sender):
-        """A valid leader's record: obey it."""
+        """Follows the sender of a record that only a leader of the current or a later term sends."""
         if body["term"] > self.log.term:
             self.adopt_term(body["term"])
         elif self.chart.state in ("candidate", "empty"):
@@ -177,7 +178,7 @@
         self.last_contact = self.environment.now()
 
     def transfer_leadership(self):
-        """Names the fullest other member as successor and stops taking writes."""
+        """Names an up-to-date voter as successor and steps down; returns whether there was one."""
         if not self.is_leader:
             return False
         candidates = {
--- a/mothshed/control_plane/following.py
+++ b/mothshed/control_plane/following.py
@@ -1,7 +1,7 @@
-"""The followers' side of one replicated log: entries and snapshots that a leader sends.
+"""The follower's side of log replication: entries and snapshots from the leader.
 
-What is answered as held has been synced. Entries that differ from the leader's give way to
-them; committed ones never differ. A snapshot is taken whole, once all its pieces have come.
+Entries are acknowledged only after they are synced. Entries that conflict with the leader's are overwritten;
+committed entries never conflict. A snapshot is installed in one step after all its chunks have arrived.
 """
 
 import typing
@@ -11,15 +11,15 @@
 
 
 class Following:
-    """How a member obeys a leader."""
+    """Mixin of Member: appends and snapshots received from a leader."""
 
     def init_following(self) -> None:
-        """Makes ready to collect a snapshot, and proofs of what was not committed yet."""
+        """Initializes snapshot assembly and the bounds on commit times."""
         self.snapshot_assembler = snapshot_transfer.SnapshotAssembler()
         self.commit_time_bounds = commit_time_bounds.CommitTimeBounds()
 
     def on_append(self, sender: str, body: dict[str, typing.Any]) -> None:
-        """A leader's entries, or none, with its commit index; answered with what is held."""
+        """Handles an append, with or without entries; responds with the index up to which the log matches."""
         if body["term"] < self.log.term:
             self.environment.send(
                 sender,
@@ -50,8 +50,8 @@
     def append_entries(
         self, previous: int, previous_term: int, entries: list[dict[str, typing.Any]]
     ) -> tuple[bool, int]:
-        """Writes what is new; (whether the log fits, up to where it is the leader's)."""
-        if previous < self.log.base:  # what the snapshot holds is committed, so it is the leader's
+        """Writes the new entries; returns (whether the log matches at `previous`, matching index or a hint)."""
+        if previous < self.log.base:  # entries in the snapshot are committed, so they match
             entries = [entry for entry in entries if entry["i"] > self.log.base]
             if not entries:
                 return True, self.log.base
@@ -67,7 +67,7 @@
         return True, previous + len(entries)
 
     def on_snap(self, sender: str, body: dict[str, typing.Any]) -> None:
-        """A piece of a leader's snapshot; answered with how much of it is here."""
+        """Handles a chunk of a leader's snapshot; responds with the amount received so far."""
         if body["term"] < self.log.term:
             return
         self.follow(body, sender)
@@ -86,7 +86,7 @@
         )
 
     def install_snapshot(self, snapshot: dict[str, typing.Any]) -> None:
-        """Takes a whole snapshot in the place of the log up to its index."""
+        """Replaces the log up to the snapshot's index, and the state of the machine, by the snapshot."""
         self.log.put_snapshot(snapshot, snapshot["index"])
         self.machine.restore(snapshot["state"])
         self.commit_index = self.last_applied = snapshot["index"]
--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -1,4 +1,4 @@
-"""A keeper process's parts: one member, on a mailbox of its own, for every part."""
+"""The keeper process: for every part one member of its consensus group, each with a mailbox of its own."""
 
 import secrets
 
@@ -29,15 +29,15 @@
 
 
 def load_member_id(disk, name, token_hex):
-    """This member's id: its name and a mark that a wiped folder does not have."""
+    """Reads or creates this member's id: its name and a random suffix that is lost when the data folder is wiped."""
     text = disk.read("incarnation").decode()
     if not text:
         if any(name.startswith("part-") for name in disk.names()):
-            raise disk_module.DiskFault("logs without an incarnation: wipe the folder")
+            raise disk_module.DiskFault("the data folder holds logs but no incarnation file; wipe the folder")
         text = token_hex(6)
         disk.put("incarnation", text.encode())
     else:
-        disk.sync_names()  # a process killed while it made the mark may not have come to it
+        disk.sync_names()  # a process killed during creation may not have synced the file name
     return f"{name}/{text}"
 
 
@@ -46,7 +46,7 @@
         self, environment, settings, new_environment, disk, token_hex=secrets.token_hex, replica_protocol=None
     ):
         self.environment, self.settings, self.disk = environment, settings, disk
-        self.waiting_for_disk = False  # whether a failed disk is being tried
+        self.waiting_for_disk = False  # whether a thread is retrying the failed disk
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.member_id = load_member_id(disk, settings["name"], token_hex)
@@ -70,10 +70,10 @@
         self.new_environment, self.replica_protocol = new_environment, replica_protocol
         opened = [self.open_part(part) for part in range(constants.PART_COUNT)]
         self.members = [member for member, _ in opened]
-        self.leader_tasks = [duty for _, duty in opened]
+        self.leader_tasks = [leader_task for _, leader_task in opened]
 
     def open_part(self, part: int) -> tuple[member_module.Member, LeaderTask]:
-        """This keeper's member of a part as its disk holds it, and what the member does when it leads."""
+        """Creates this keeper's member of a part from the disk, and the leader task of the part."""
         settings = self.settings
         failure_tolerance = reconfiguration.FailureTolerance(
             settings.get("losses", constants.DEFAULT_TOLERATED_FAILURES),
@@ -95,43 +95,41 @@
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_part.ConfigDuty(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
-        duty = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.replica_protocol, tenure)
+        leader_task = orders.OrderDuty(member, self.replicas, self.lease, self.journal, self.replica_protocol, tenure)
         permit_duty.PermitDuty(member, self.lease, self.journal, limit_bounds.from_settings(settings))
         if self.replica_protocol and part == constants.LIST_READER_PART:
             list_duty.ListDuty(member, self.replicas)
-        return member, duty
+        return member, leader_task
 
     def disk_failed(self):
-        """A member stopped, not knowing what its disk holds: it is opened again once the disk takes writes."""
+        """Called when a disk fault has stopped a member: starts to retry the disk, unless that is running."""
         if not self.waiting_for_disk:
             self.waiting_for_disk = True
             self.environment.spawn(self.wait_for_disk)
 
     def wait_for_disk(self):
-        """Tries the disk until it takes writes and every part that it failed is open again."""
+        """Retries the disk until it accepts writes and every member stopped by the fault is reopened."""
         while any(member.stopped_by_disk_fault for member in self.members):
             self.environment.sleep(constants.DISK_RETRY_INTERVAL_S)
             try:
                 self.disk.put("probe", b".")
                 self.reopen_parts()
-            except disk_module.DiskDamaged as damage:  # waiting does not help: an operator wipes the folder
-                log_buffer.failure("disk_damaged", damage)
+            except disk_module.DiskDamaged as error:  # not recoverable by waiting: an operator must wipe the folder
+                log_buffer.failure("disk_damaged", error)
                 return
-            except disk_module.DiskFault as fault:
-                log_buffer.note("disk_refuses", reason=str(fault))
+            except disk_module.DiskFault as error:
+                log_buffer.note("disk_refuses", reason=str(error))
         self.waiting_for_disk = False
-        if any(
-            member.stopped_by_disk_fault for member in self.members
-        ):  # one failed while this thread was about to end
+        if any(member.stopped_by_disk_fault for member in self.members):  # a member failed while this thread was ending
             self.disk_failed()
 
     def reopen_parts(self) -> None:
-        """Opens the parts that the disk failed, as a start of the process would; raises DiskFault."""
+        """Reopens the members stopped by a disk fault, as a process start would; raises DiskFault."""
         for part, stopped_member in enumerate(self.members):
             if stopped_member.stopped_by_disk_fault:
-                member, duty = self.open_part(part)
+                member, leader_task = self.open_part(part)
                 stopped_member.environment.stop()
-                self.members[part], self.leader_tasks[part] = member, duty
+                self.members[part], self.leader_tasks[part] = member, leader_task
                 log_buffer.report("part_opened_again", part=part, term=member.log.term, last=member.log.last)
                 member.start()
 
@@ -147,29 +145,29 @@
     def front(self, handler_class=keeper_front.KeeperFront):
         return front.Server(self.settings["http"], handler_class(self), constants.OPERATOR_SERVER_THREADS)
 
-    def call_in_mailbox(self, member, call):
-        """Runs call() in a part's mailbox and waits for what it returns."""
-        event, box = self.environment.new_event(), []
-        member.environment.post(lambda: (box.append(call()), event.set()))
-        return box[0] if event.wait(constants.MAILBOX_CALL_TIMEOUT_S) else None
+    def call_in_mailbox(self, member, callback):
+        """Runs callback() in a member's mailbox and returns its result, or None after a timeout."""
+        event, results = self.environment.new_event(), []
+        member.environment.post(lambda: (results.append(callback()), event.set()))
+        return results[0] if event.wait(constants.MAILBOX_CALL_TIMEOUT_S) else None
 
     def drain(self):
-        """Hands every led part to a successor and leaves the groups; True if all were taken over."""
+        """Leaves all groups and transfers every leadership; returns whether no member leads any more."""
         for member in self.members:
             self.call_in_mailbox(member, member.leave)
         self.environment.sleep(2 * constants.HEARTBEAT_INTERVAL_S)
-        until = self.environment.now() + self.settings.get("drain_s", constants.DEFAULT_LEAVE_TIMEOUT_S)
-        while self.environment.now() < until and not all(member.may_stop for member in self.members):
+        deadline = self.environment.now() + self.settings.get("drain_s", constants.DEFAULT_LEAVE_TIMEOUT_S)
+        while self.environment.now() < deadline and not all(member.may_stop for member in self.members):
             self.environment.sleep(constants.HEARTBEAT_INTERVAL_S)
         return not any(member.is_leader for member in self.members)
 
     def condition(self):
         parts = [member.condition() for member in self.members]
-        for row, duty, member in zip(parts, self.leader_tasks, self.members, strict=True):
-            row.update(duty.report())
-            for other in member.leader_tasks:
-                if isinstance(other, permit_duty.PermitDuty):
-                    row.update(other.report())
+        for row, leader_task, member in zip(parts, self.leader_tasks, self.members, strict=True):
+            row.update(leader_task.report())
+            for other_task in member.leader_tasks:
+                if isinstance(other_task, permit_duty.PermitDuty):
+                    row.update(other_task.report())
         return {
             "name": self.settings["name"],
             "who": self.member_id,
--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -1,10 +1,9 @@
-"""One member of one part's group: the log it keeps, its state, what it applies.
+"""One member of the consensus group of one part: its log, its state and its state machine.
 
-A Member runs on an environment, one callback at a time. The chart `member.json` says
-which states may follow which. Election, replication, following and reconfiguration are
-files of their own, mixed in here; this one holds what they share: the effective membership, applying
-committed entries to the part's machine, snapshots, and the leader's confirmed
-reads. A disk that fails to sync stops the member: it no longer knows what it has.
+A Member runs in the mailbox of its environment, one callback at a time. The chart `member.json` lists the state
+transitions. Election, replication, following and reconfiguration are mixins in modules of their own; this module
+holds what they share: the effective membership, proposals, applying committed entries to the part's state machine,
+and snapshots. A failed disk write or sync stops the member, because the contents of its disk are then unknown.
 """
 
 import typing
@@ -20,7 +19,7 @@
 import mothshed.storage.disk as disk_module
 import mothshed.storage.disk_log as disk_log
 
-GROUP_COMMANDS = frozenset({"members", "begin"})  # those that concern the group itself
+GROUP_COMMANDS = frozenset({"members", "begin"})  # handled by every release, whatever the state machine of the part
 
 
 class Member(election.Election, replication.Replication, following.Following, reconfiguration.Reconfiguration):
@@ -39,20 +38,20 @@
         self.environment, self.part, self.member_id, self.http = environment, part, member_id, http
         self.address = environment.address
         self.initial_addresses = list(initial_addresses)
-        self.known_addresses = known_addresses  # addresses of keepers from hints
+        self.known_addresses = known_addresses  # addresses of keepers, learned by gossip
         self.machine = machine  # apply(index, command), dump(), restore(state)
         self.failure_tolerance = failure_tolerance or reconfiguration.FailureTolerance()
-        self.disk_fault_callback = lambda: None  # told once the disk has failed
-        self.stopped_by_disk_fault = False  # whether this member stopped for that
-        self.leader_tasks = []  # start() when leader, stop() when not
+        self.disk_fault_callback = lambda: None  # called after a disk fault has stopped this member
+        self.stopped_by_disk_fault = False
+        self.leader_tasks = []  # started when this member becomes leader, stopped when it loses leadership
         self.log = disk_log.PartLog(disk, part)
         self.chart = charts.load("member")
         self.leader = ""
         self.commit_index = self.last_applied = 0
-        self.last_addresses = {}  # id -> address heard of lately
+        self.last_addresses = {}  # member id -> the address it last used
         self.pending_proposals = {}  # index -> (term, callback)
-        self.last_contact = environment.now()  # also after a start: an old promise may still hold
-        self.by_transfer = False  # whether this member stood because its leader named it
+        self.last_contact = environment.now()  # also after a restart: a promise made before it may still hold
+        self.by_transfer = False  # whether this candidacy follows a leadership transfer
         self.membership = membership.Membership()
         if self.log.snapshot:
             machine.restore(self.log.snapshot["state"])
@@ -97,7 +96,7 @@
         return run_callback
 
     def fail_disk(self, error):
-        """What is on the disk is not known any more: this member takes no further part."""
+        """Stops this member for good: the contents of its disk are no longer known."""
         log_buffer.failure("disk_fault", error, part=self.part)
         self.stop()
         self.stopped_by_disk_fault = True
@@ -109,11 +108,11 @@
 
     @property
     def members(self):
-        """Everyone whose vote counts now, id -> {"address", "http"}."""
+        """All current voters, including outgoing ones: id -> {"address", "http"}."""
         return self.membership.all_voters
 
     def refresh_membership(self):
-        """The latest membership in the log counts, committed or not."""
+        """Adopts the latest membership in the log, committed or not."""
         previous = self.membership
         self.membership, self.membership_index = self.membership_at(self.log.last)
         if self.membership != previous:
@@ -125,7 +124,7 @@
             self.chart.step("admit" if self.member_id in self.members else "learn")
 
     def report_voters(self) -> None:
-        """Say who votes from now on, as this member sees it."""
+        """Logs the voters that this member now knows."""
         log_buffer.report(
             "voters",
             part=self.part,
@@ -135,7 +134,7 @@
         )
 
     def membership_at(self, index):
-        """The membership in effect at an index of the log, and the index of its entry."""
+        """Returns the membership in effect at a log index and the index of the entry that set it."""
         for body in reversed(self.log.entries):
             if body["i"] <= index and body["c"].get("op") == "members":
                 return membership.from_command(body["c"]), body["i"]
@@ -155,7 +154,7 @@
         self.environment.send(self.address_of(member_id), kind, part=self.part, who=self.member_id, **body)
 
     def propose(self, command, callback=lambda result: None):
-        """call(result) once committed and applied; callback(None): not known, read back."""
+        """Calls callback(result) once applied, or callback(None) if the outcome is unknown and must be read back."""
         if not self.is_leader:
             callback(None)
             return
@@ -173,7 +172,9 @@
 
     def apply_all(self):
         while self.last_applied < self.commit_index:
-            index = self.last_applied = self.last_applied + 1  # applying may commit, and so apply, the next one
+            index = self.last_applied = (
+                self.last_applied + 1
+            )  # apply() may commit the next entry and re-enter this loop
             body = self.log.get(index)
             if not self.can_apply(body["c"]):
                 self.stop_at_unknown_command(index, body["c"])
@@ -186,17 +187,17 @@
             self.take_snapshot()
 
     def can_apply(self, command: dict[str, typing.Any]) -> bool:
-        """Whether this release can apply a command."""
+        """Whether this release knows the command."""
         return command["op"] in GROUP_COMMANDS or command["op"] in self.machine.commands
 
     def stop_at_unknown_command(self, index: int, command: dict[str, typing.Any]) -> None:
-        """A later release committed a command that this one cannot apply: going on, its state would differ."""
+        """Stops at a committed command of a newer release: skipping it would make this member's state diverge."""
         log_buffer.report("command_not_understood", part=self.part, index=index, op=command["op"])
         self.last_applied = index - 1
         self.stop()
 
     def snapshot_due(self):
-        """Whether enough entries, or bytes of them, stand after the newest snapshot."""
+        """Whether the entries since the newest snapshot exceed the limit on their number or size."""
         since = self.last_applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
         return since >= constants.SNAPSHOT_INTERVAL_ENTRIES or (
             since > 0 and self.log.bytes_since_snapshot > constants.SNAPSHOT_INTERVAL_BYTES
@@ -213,12 +214,12 @@
         self.log.put_snapshot(snapshot, keep)
 
     def not_committed_before(self, index: int) -> float | None:
-        """The latest moment on this clock before which an entry surely was not committed; None if not known."""
+        """A time on this member's clock before which an entry was certainly not committed; None if unknown."""
         term = self.log.term_at(index)
         return None if term is None else self.commit_time_bounds.not_committed_before(term, index)
 
     def lose_leadership(self):
-        """No longer leader: waiting writes are unknown, waiting reads fail."""
+        """Ends what depends on leadership: pending writes get an unknown outcome, pending reads fail."""
         pending, self.pending_proposals = self.pending_proposals, {}
         for _term, callback in pending.values():
             callback(None)
--- a/mothshed/control_plane/membership.py
+++ b/mothshed/control_plane/membership.py
@@ -1,21 +1,20 @@
-"""Who votes in a replicated log, during a change of the voters too.
+"""The voters of a consensus group, also during a membership change, and the rules for the next change.
 
-A change goes through joint consensus: while the voters it replaces are still
-listed as outgoing, elections, commits and reads need a majority of the old and
-of the new voters. So any number of voters may be exchanged in one change, and no
-two majorities that act at different moments miss each other (Ongaro, section 4.3).
+A change uses joint consensus: while the replaced voters are still listed as outgoing, elections, commits and
+reads need a majority of both the old and the new voters. Any number of voters may thus be replaced in one
+change, and any two majorities intersect, even across the change (Ongaro, section 4.3).
 """
 
 import collections.abc
 import dataclasses
 import typing
 
-Endpoint = dict[str, str]  # {"address": ip:port of the system's own records, "http": ip:port}
+Endpoint = dict[str, str]  # {"address": ip:port for records between processes, "http": ip:port}
 Voters = dict[str, Endpoint]  # member id -> endpoint
 
 
 def majority_of(count: int) -> int:
-    """How many of this many voters are more than half.
+    """The smallest majority of this many voters.
 
     >>> [majority_of(n) for n in (1, 2, 3, 4, 5, 7)]
     [1, 2, 2, 3, 3, 4]
@@ -25,27 +24,27 @@
 
 @dataclasses.dataclass(frozen=True)
 class Membership:
-    """The voters, id -> {"address", "http"}, and those whom a change under way replaces."""
+    """The voters, id -> {"address", "http"}, and the outgoing voters of a change in progress."""
 
     voters: Voters = dataclasses.field(default_factory=dict)
     outgoing: Voters = dataclasses.field(default_factory=dict)
 
     @property
     def all_voters(self) -> Voters:
-        """Voters of both configurations."""
+        """The current and the outgoing voters."""
         return {**self.outgoing, **self.voters}
 
     @property
     def joint(self) -> bool:
-        """Whether a change of the voters is under way."""
+        """Whether a change of the voters is in progress."""
         return bool(self.outgoing)
 
     def voter_sets(self) -> list[Voters]:
-        """The voter sets of which each needs a majority."""
+        """The sets of voters each of which needs a majority."""
         return [voter_set for voter_set in (self.voters, self.outgoing) if voter_set]
 
     def has_quorum(self, ids: collections.abc.Iterable[str]) -> bool:
-        """Whether these ids are a majority of every voter set.
+        """Whether these ids include a majority of every voter set.
 
         >>> change = Membership(dict.fromkeys("ABY"), dict.fromkeys("ABX"))
         >>> change.has_quorum("AB"), change.has_quorum("BY"), change.has_quorum("AYX")
@@ -59,7 +58,7 @@
         )
 
     def quorum_value(self, values: dict[str, int]) -> int:
-        """The highest value that a quorum has reached; values: id -> number, 0 where absent.
+        """The highest value that a quorum has reached; values: id -> number, 0 if missing.
 
         >>> Membership(dict.fromkeys("ABC")).quorum_value({"A": 9, "B": 7, "C": 2})
         7
@@ -73,35 +72,37 @@
         return min(reached, default=0)
 
     def enter_joint(self, voters: Voters) -> "Membership":
-        """The joint membership that leads to these voters."""
+        """The joint membership of a change to these voters."""
         return Membership(dict(voters), dict(self.voters))
 
     def leave_joint(self) -> "Membership":
-        """The membership once the change is over."""
+        """The membership at the end of the change."""
         return Membership(dict(self.voters))
 
     def command(self) -> dict[str, typing.Any]:
-        """The log entry that puts this membership into effect."""
+        """The command whose log entry puts this membership into effect."""
         return {"op": "members", "members": self.voters, "outgoing": self.outgoing}
 
 
 def from_command(command: dict[str, typing.Any]) -> Membership:
-    """The membership that a log entry or a snapshot holds."""
+    """The membership in the command of a log entry or in a snapshot."""
     return Membership(command["members"], command.get("outgoing", {}))
 
 
 def machine_name(member: str) -> str:
-    """The machine's name in a member's id; the rest is the mark of one data folder."""
+    """The machine name in a member id; the rest identifies the data folder."""
     return member.split("/")[0]
 
 
 @dataclasses.dataclass(frozen=True)
 class GroupView:
-    """What the leader of a group sees of it; times in seconds.
+    """The leader's view of its group.
 
-    voters: id -> endpoint. learners: id -> endpoint of those that hold all that is committed.
-    response_ages: id -> time since the voter's last answer. leaving: ids that said so.
-    min_voters: the number of voters that the allowed losses call for.
+    voters: id -> endpoint. learners: id -> endpoint, for learners that hold all committed entries.
+    response_ages: id -> seconds since the voter's last response. leaving: ids that announced that they leave.
+    min_voters: the fewest voters that tolerate the configured number of failures.
+    response_timeout_s: age of the last response above which a voter counts as missing, so that none is added.
+    replace_after_s: age of the last response above which a voter may be replaced or removed.
     """
 
     leader: str
@@ -115,7 +116,7 @@
 
 
 def next_voters(view: GroupView) -> Voters | None:
-    """The voters to change to now, or None if the group is as it should be.
+    """The voters to change to now, or None if no change is due.
 
     >>> endpoint = {"address": "a", "http": "h"}
     >>> group = dict.fromkeys(["A/1", "B/1", "X/1"], endpoint)
@@ -140,13 +141,13 @@
 
 
 def replace_voter(voters: Voters, removed: str, replacements: Voters) -> Voters:
-    """The voters less one, and with these newcomers."""
+    """The voters without one of them and with its replacements."""
     rest = {member: endpoint for member, endpoint in voters.items() if member != removed}
     return {**rest, **replacements}
 
 
 def replace_wiped_voter(view: GroupView) -> Voters | None:
-    """A machine that came back with an empty disk takes the place of what it was."""
+    """Replaces a voter by a learner of the same machine that restarted with an empty disk."""
     for learner, endpoint in view.learners.items():
         for voter in view.voters:
             if voter not in (learner, view.leader) and machine_name(voter) == machine_name(learner):
@@ -155,7 +156,7 @@
 
 
 def replace_unavailable_voter(view: GroupView) -> Voters | None:
-    """A voter that leaves or has been silent for long is replaced, or let go if enough remain."""
+    """Replaces a voter that leaves or has stopped responding, or removes it if enough voters remain."""
     unresponsive = [voter for voter in view.voters if view.response_ages.get(voter, 0.0) > view.replace_after_s]
     unresponsive.sort(key=lambda voter: -view.response_ages[voter])
     leaving = [voter for voter in view.voters if voter in view.leaving and voter not in unresponsive]
@@ -171,7 +172,7 @@
 
 
 def update_voter_endpoint(view: GroupView) -> Voters | None:
-    """A voter that came back with its disk at another address."""
+    """Updates a voter that restarted with its disk under another address."""
     for learner, endpoint in view.learners.items():
         if learner in view.voters and view.voters[learner] != endpoint:
             return {**view.voters, learner: endpoint}
@@ -179,7 +180,7 @@
 
 
 def add_voter(view: GroupView) -> Voters | None:
-    """A further machine, while every voter answers: a group with one missing grows by replacement only."""
+    """Adds a voter while all voters respond; while one is missing, voters are only replaced."""
     if any(view.response_ages.get(voter, 0.0) > view.response_timeout_s for voter in view.voters):
         return None
     for learner, endpoint in view.learners.items():
--- a/mothshed/control_plane/reconfiguration.py
+++ b/mothshed/control_plane/reconfiguration.py
@@ -1,11 +1,10 @@
-"""How members come to be and go: birth of a group, learning, changes of the voters.
-
-A group is born only when every first member says that it is empty. Anyone else,
-a wiped member, a newcomer or one at a new address, asks to join; the leader feeds
-it as a learner without a vote until it holds all that is committed. Which voters the
-group should have then is decided in membership.py; a change is two log entries, the
-joint membership and the settled one, and one change runs at a time. A member that is
-stopped says so and is replaced, or let go, where the group can spare it.
+"""Bootstrap of a group, joining and leaving members, and changes of the voters.
+
+A group is bootstrapped only after every initial member has reported that it is empty. Any other member (a wiped
+one, a new one or one at a new address) asks to join; the leader replicates to it as a learner without a vote
+until it holds all committed entries. membership.py decides which voters the group should have. A change takes
+two log entries, the joint and the final membership, and only one change runs at a time. A member that is being
+stopped announces it and is replaced, or removed where enough voters remain.
 """
 
 import dataclasses
@@ -16,9 +15,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class FailureTolerance:
-    """What a group must bear.
+    """The failures that a group must tolerate.
 
-    losses: voters lost at once. catch_up: seconds that a loss counts on after its machine is back or replaced.
+    losses: voters lost at the same time. catch_up: seconds that a lost voter still counts as lost after its
+    machine is back or replaced.
     """
 
     losses: int = constants.DEFAULT_TOLERATED_FAILURES
@@ -26,23 +26,23 @@
 
     @property
     def min_voters(self) -> int:
-        """The fewest voters of which a majority is left after the losses."""
+        """The fewest voters of which a majority remains after the losses."""
         return 2 * self.losses + 1
 
     @property
     def replace_after_s(self) -> float:
-        """Seconds of silence after which a voter may be replaced."""
+        """Seconds without a response after which a voter may be replaced."""
         return constants.SILENT_VOTER_RATIO * self.catch_up
 
 
 class Reconfiguration:
-    """How a member joins and leaves, and how a leader changes the voters."""
+    """Mixin of Member: joining and leaving a group, and changes of the voters by the leader."""
 
     def init_reconfiguration(self):
-        self.empty_members = {}  # address -> (time, id, http) of first members that said empty
+        self.empty_members = {}  # address -> (time, id, http) of initial members that reported an empty log
         self.learners = {}  # id -> {"address", "http", "at"}
-        self.leaving_members = {}  # id -> when it last said that it leaves
-        self.leaving = self.may_stop = False  # whether this member is to stop, and may
+        self.leaving_members = {}  # id -> when it last announced that it leaves
+        self.leaving = self.may_stop = False  # whether this member is being stopped, and whether it may stop now
         self.last_join_request_at = -1e9
 
     def send_join_requests(self, now):
@@ -124,7 +124,7 @@
         self.replicate()
 
     def change_members(self):
-        """The leader's next step towards the voters that the group should have, if one is due."""
+        """As leader, proposes the next step towards the intended voters, if one is due."""
         if not self.is_leader or not self.ready or self.commit_index < self.membership_index:
             return
         if self.membership.joint:
@@ -136,7 +136,7 @@
                 self.propose(self.membership.enter_joint(wanted).command())
 
     def group_view(self):
-        """What this leader sees of its group now."""
+        """This leader's current view of its group."""
         now = self.environment.now()
         self.expire_absent_members(now)
         return membership.GroupView(
@@ -151,7 +151,7 @@
         )
 
     def expire_absent_members(self, now):
-        """Drops learners that neither ask nor answer any more, and old words of leaving."""
+        """Drops learners that no longer ask or respond, and expired announcements of leaving."""
         for member_id, endpoint in list(self.learners.items()):
             settled = self.membership.voters.get(member_id, {}).get("address") == endpoint["address"]
             if (
@@ -164,7 +164,7 @@
         }
 
     def caught_up_learners(self, now):
-        """Places of the learners that answer and hold all that is committed."""
+        """Endpoints of the learners that respond and hold all committed entries."""
         caught_up = {}
         for member_id, endpoint in self.learners.items():
             progress = self.progress.get(member_id)
@@ -175,14 +175,14 @@
                 caught_up[member_id] = {"address": endpoint["address"], "http": endpoint["http"]}
         return caught_up
 
-    # --- a member that stops ---
+    # --- leaving the group ---
     def leave(self):
-        """This member's process is to stop: it hands over, and asks to be replaced or let go."""
+        """Prepares for a stop of this process: transfers leadership and asks to be replaced or removed."""
         self.leaving = True
         self.continue_leaving()
 
     def continue_leaving(self) -> None:
-        """The next step of leaving; again on every heartbeat until `may_stop`."""
+        """Takes the next step of leaving; called on every heartbeat until `may_stop` is set."""
         if self.is_leader:
             self.transfer_leadership()
         elif self.member_id not in self.members:
@@ -203,11 +203,11 @@
         self.send(member_id, "leave_say", finished=not must_wait)
 
     def has_collected_join_requests(self) -> bool:
-        """Whether this leader has led for long enough to have heard of every member that asks to join."""
+        """Whether this leader has led for long enough to have received every pending join request."""
         return self.ready and self.environment.now() - self.elected_at >= constants.JOIN_COLLECTION_S
 
     def can_remove_voter(self, member_id):
-        """Whether a change that lets this voter go is to be expected."""
+        """Whether a change that replaces or removes this voter can be expected."""
         candidates = [learner for learner in self.learners if learner not in self.members]
         return bool(candidates) or len(self.membership.voters) > self.failure_tolerance.min_voters
 
--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -1,12 +1,11 @@
-"""The leader's side of one replicated log; the followers' is in following.py.
-
-Every append carries a round number that members echo; a read or a lease answer
-waits until a majority has echoed a round sent after it was asked, which proves
-that this leader still was the leader then. An entry counts as held by a member
-only when that member has synced it. `quorum_until` is how long this leader may act
-without asking again: no vote can be given before it is over. What is sent ahead is
-bounded per follower (progress.py); one whose entries are gone from the log here is
-sent the snapshot in pieces (snapshot_transfer.py).
+"""The leader's side of log replication; the follower's side is in following.py.
+
+Every append carries a round number that members echo. A read or a lease request is answered only after a
+majority has echoed a round sent after the request arrived, which proves that this leader was still the leader
+at that time. An entry counts as stored by a member only after that member has synced it. Until `quorum_until`
+the leader may act without confirming its leadership again, because no majority of votes can be granted before
+then. Unacknowledged entries are bounded per follower (progress.py). A follower that needs entries that the log
+no longer holds gets the snapshot in chunks (snapshot_transfer.py).
 """
 
 import mothshed.constants as constants
@@ -15,11 +14,11 @@
 
 
 class Replication:
-    """What a leader sends, what it counts as held, and for how long it is sure to lead."""
+    """Mixin of Member: appends, the commit index, and confirmation of leadership."""
 
     def reset_replication(self):
         self.round, self.sent_at = 0, {}
-        self.confirmed_round = 0  # the newest that a majority has echoed
+        self.confirmed_round = 0  # newest round echoed by a majority
         self.progress = {}  # member or learner id -> Progress
         self.pending_reads = []
         self.replicated_at = -1.0
@@ -27,7 +26,7 @@
         self.quorum_until = 0.0
         self.ready = False
         self.elected_at = self.environment.now()
-        self.encoded_snapshot = None  # the newest snapshot as text, while somebody needs it
+        self.encoded_snapshot = None  # newest snapshot as text, while a transfer uses it
 
     def targets(self):
         return self.other_members() + [member for member in self.learners if member not in self.members]
@@ -38,7 +37,7 @@
         return self.progress[member]
 
     def replicate(self):
-        """Sends what is missing to every member, at most once in a MIN_ROUND_INTERVAL_S."""
+        """Sends missing entries to every member and learner, at most once per MIN_ROUND_INTERVAL_S."""
         delay_s = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
         if delay_s <= 0:
             self.replicate_now()
@@ -58,7 +57,7 @@
         self.advance_confirmed_round()
 
     def send_append(self, member):
-        """One append: entries as far as the window allows, else none but the round and the commit index."""
+        """Sends one append: the entries that the window allows, or none, with the round and the commit index."""
         progress = self.progress_of(member)
         if progress.next_index - 1 < self.log.base:
             self.send_snapshot_chunk(member, progress)
@@ -80,7 +79,7 @@
             progress.record_sent(self.round, entries[-1]["i"], size)
 
     def next_entries(self, progress):
-        """The entries to send now and their size; none while a snapshot is on its way."""
+        """The entries to send now and their size in bytes; none during a snapshot transfer."""
         if progress.transfer is not None:
             return [], 0
         room, entries, size = min(progress.available_window_bytes(), constants.MAX_APPEND_BYTES), [], 0
@@ -95,7 +94,7 @@
         return entries, size
 
     def send_snapshot_chunk(self, member, progress):
-        """Starts the transfer of the newest snapshot, or goes on with the one under way."""
+        """Starts a transfer of the newest snapshot, or continues the one in progress."""
         now = self.environment.now()
         if progress.transfer is None:
             if self.encoded_snapshot is None or self.encoded_snapshot.index != self.log.snapshot["index"]:
@@ -121,7 +120,7 @@
         self.send_snapshot_chunk(body["who"], progress)
 
     def active_transfers(self):
-        """The followers to which a snapshot is on its way."""
+        """Ids of the members and learners that are being sent a snapshot."""
         return [member for member, progress in self.progress.items() if progress.transfer is not None]
 
     def on_append_say(self, sender, body):
@@ -173,7 +172,7 @@
             callback(True)
 
     def confirm_leadership(self, callback):
-        """callback(True) once a majority has answered a round sent from now on."""
+        """Calls callback(True) once a majority has echoed a round sent from now on, or callback(False) on failure."""
         if not (self.is_leader and self.ready):
             callback(False)
             return
@@ -189,7 +188,7 @@
         return self.is_leader and self.ready and self.environment.now() < self.quorum_until
 
     def response_age(self, member, now):
-        """Seconds since a member's last answer to this leader, counted from its election at least."""
+        """Seconds since a member's last response to this leader, or since the election if there was none."""
         progress = self.progress.get(member)
         return now - (progress.last_response_at if progress else self.elected_at)
 
--- a/mothshed/control_plane/snapshot_transfer.py
+++ b/mothshed/control_plane/snapshot_transfer.py
@@ -1,8 +1,8 @@
-"""A snapshot on its way to one follower, in pieces of bounded size.
+"""Transfer of a snapshot to one follower in chunks of bounded size.
 
-The leader sends one piece at a time and goes on where the follower says it stands;
-a piece without an answer is sent again. The follower collects pieces of one
-snapshot only, checks the whole by its checksum and installs it in one step.
+The leader sends one chunk at a time and continues at the offset that the follower reports; a chunk without a
+response is sent again. The follower assembles the chunks of one snapshot only, verifies the checksum of the
+whole and installs it in one step.
 """
 
 import json
@@ -11,11 +11,11 @@
 
 import mothshed.constants as constants
 
-Fields = dict[str, typing.Any]  # of a snapshot or of a record
+Fields = dict[str, typing.Any]  # fields of a snapshot or of a record
 
 
 class EncodedSnapshot:
-    """A snapshot as text, made once for all followers that need it."""
+    """A snapshot encoded as text, shared by the transfers to all followers."""
 
     def __init__(self, snapshot: Fields) -> None:
         self.index, self.term = snapshot["index"], snapshot["term"]
@@ -24,7 +24,7 @@
 
 
 class SnapshotTransfer:
-    """The sender's side; `offset` is how many characters the follower has."""
+    """The sender's side; `offset` is the number of characters that the follower has."""
 
     def __init__(self, snapshot: EncodedSnapshot) -> None:
         self.snapshot = snapshot
@@ -32,11 +32,11 @@
         self.sent_at: float | None = None
 
     def chunk_due(self, now: float) -> bool:
-        """Whether the next piece is to be sent: none is under way, or its answer is overdue."""
+        """Whether to send the next chunk: none is outstanding, or its response is overdue."""
         return self.sent_at is None or now - self.sent_at > constants.SNAPSHOT_CHUNK_RESEND_S
 
     def next_chunk(self, now: float) -> Fields:
-        """The fields of the record that carries the next piece."""
+        """The fields of the record that carries the next chunk."""
         self.sent_at = now
         snapshot = self.snapshot
         return {
@@ -49,13 +49,13 @@
         }
 
     def acknowledged(self, index: int, offset: int) -> None:
-        """The follower has this much of that snapshot; answers about another one are passed over."""
+        """Records how much of a snapshot the follower has; responses about another snapshot are ignored."""
         if index == self.snapshot.index and offset <= len(self.snapshot.text):
             self.offset, self.sent_at = offset, None
 
 
 class SnapshotAssembler:
-    """The receiver's side: the pieces of one snapshot so far."""
+    """The receiver's side: the chunks of one snapshot received so far."""
 
     def __init__(self) -> None:
         self.identity: tuple[int, int, int, int] | None = None
@@ -63,11 +63,11 @@
         self.received_chars = 0
 
     def reset(self, identity: tuple[int, int, int, int] | None) -> None:
-        """Forgets the pieces; the next ones belong to this snapshot."""
+        """Discards the chunks; the next ones belong to the snapshot of this identity."""
         self.identity, self.chunks, self.received_chars = identity, [], 0
 
     def add_chunk(self, body: Fields) -> Fields | None:
-        """Adds a piece; returns the snapshot once it is whole and its checksum fits, else None."""
+        """Adds a chunk; returns the snapshot once it is complete and its checksum matches, else None."""
         identity = (body["index"], body["index_term"], body["total"], body["checksum"])
         if identity != self.identity:
             self.reset(identity)
