--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -83,13 +83,13 @@
 
     def let_go(self):
         if self.handle:
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
         if self.reply:
             self.note_caller("worked_after_caller_left", "decode")
             self.reply.close()
         if self.pair:
             self.router.placing.read(self.pair)
-            self.router.replicas.end(self.pair.writer.name)
+            self.router.replicas.request_ended(self.pair.writer.name)
         self.handle = self.reply = self.pair = None
 
     def give_in(self, reason):
@@ -185,9 +185,9 @@
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), name) from e
         self.router.placing.read(pair)
         if self.handle:  # the pull is done
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
             self.handle = None
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         self.router.placing.outcomes.answered(name)
         if self.ask.parts:
             self.router.placing.parts.add(name, self.ask.parts)
@@ -226,13 +226,13 @@
             self.note_event()
             if number is not None:
                 if self.last is not None and number <= self.last:
-                    raise verdict.StreamBroken("an event came twice")
+                    raise verdict.StreamInterrupted("an event came twice")
                 self.last = number
             with self.pauses.watch(pauses_module.Cause.CALLER):
                 yield event
 
     def take_up(self):
-        """The rest of a broken resumable stream, from another replica; StreamBroken if there is none."""
+        """The rest of a broken resumable stream, from another replica; StreamInterrupted if there is none."""
         while self.again and self.last is not None and self.may_repeat():
             try:
                 reply, first, number, rows = self.once()
@@ -246,4 +246,4 @@
                 self.note(e)
             except verdict.Rejection:
                 break
-        raise verdict.StreamBroken(str(self.fails[-1]) if self.fails else "stream broke")
+        raise verdict.StreamInterrupted(str(self.fails[-1]) if self.fails else "stream broke")
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -31,7 +31,7 @@
                 return False
             self.note_caller("sent_after_caller_left", role)
             if not (self.prefills or self.decodes):
-                self.router.budget.sent()
+                self.router.retry_budget.record_request()
             if role == "prefill":
                 self.prefills += 1
             else:
@@ -43,9 +43,9 @@
         return ready
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerLeft if nobody waits for the answer any more: whatever failed says nothing of a replica then."""
+        """Raise CallerDisconnected once the caller is gone; a failure after that says nothing about a replica."""
         if self.ask.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def note_caller(self, kind: str, stage: str) -> None:
         """Count what is done over half a second after the caller was seen to have left."""
@@ -93,7 +93,7 @@
         extra = self.counted > 0 if role == "decode" else self.prefills > 0
         if role == "decode" and self.decodes + self.shed >= self.route["tries"]:
             self.give_in("as many replicas were asked as the route allows")
-        if extra and not self.router.budget.extra():
+        if extra and not self.router.retry_budget.take_or_borrow():
             self.give_in("retry budget is spent")
 
     def reader_left(self):
@@ -105,14 +105,14 @@
         if "Timeout" in e.reason and e.verdict is not NOT_RUN:
             self.environment.spawn(lambda: self.look(place))
         elif e.verdict is not NOT_RUN or e.reason.startswith(("NewConnection", "ConnectTimeout")):
-            self.router.replicas.failed(place.name)
+            self.router.replicas.mark_failed(place.name)
 
     def look(self, place):
         """A silent replica that still takes a connection is busy; one that does not is out."""
         try:
             self.environment.kept.look(place.url.removeprefix("http://"))
         except web.WebFault:
-            self.router.replicas.failed(place.name)
+            self.router.replicas.mark_failed(place.name)
 
     def prefill(self, pair):
         """The handle, or None when the writer shall read for itself."""
@@ -150,7 +150,7 @@
             self.router.placing.read(pair)
         self.router.placing.parts.add(name, self.ask.parts)
         self.router.placing.measured(name, unread, pair.queued, self.environment.now() - began)
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         return handle
 
     def patience_first(self):
@@ -173,12 +173,12 @@
         if not (self.handle and e.rejected and e.verdict is NOT_RUN):
             return False
         room = self.router.placing.running(pair.writer.name) <= self.router.replicas.rows[pair.writer.name]["slots"]
-        return room and self.staying(pair.writer) and self.router.budget.extra()
+        return room and self.staying(pair.writer) and self.router.retry_budget.take_or_borrow()
 
     def drop_handle(self, e: verdict.SendFailure) -> None:
         """The hand-over of a prompt failed: its memory is freed, and the failed send counts as none of a replica."""
         self.fails.append(e)
-        self.router.frees.order(self.handle)
+        self.router.handle_releases.enqueue(self.handle)
         self.handle = None
         self.decodes -= 1  # the route's tries count replicas, and it is the same one
         self.router.journal.add(
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -34,7 +34,7 @@
 
 def repeat_unsafe(self, e):
     if self.chart.state == "relaying":
-        raise verdict.StreamBroken(str(e)) from e
+        raise verdict.StreamInterrupted(str(e)) from e
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.end()
 
@@ -49,21 +49,21 @@
 def stage_anyway(self, index, command):
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
-    self.drop_documents()
+    self.drop_old_documents()
     self.changed("stage", self.latest)
     return {"sequence": self.latest}
 
 
 def activate_at_once(self):
     m = self.machine
-    if self.on and m.latest > m.active and not self.asking:
-        self.asking = True
-        self.member.propose({"op": "activate", "sequence": m.latest}, self.activated)
+    if self.leading and m.latest > m.active and not self.activation_proposed:
+        self.activation_proposed = True
+        self.member.propose({"op": "activate", "sequence": m.latest}, self.activation_finished)
 
 
 def take_level(self, index, command):
     if command["op"] == "take":
-        self.holder, self.standing = command["who"], 1
+        self.order_leader, self.fencing_token = command["who"], 1
         return {"standing": 1}
     return APPLY(self, index, command)
 
@@ -80,7 +80,7 @@
     TAKE_LIST(self, {n: {**r, "leaving": False} for n, r in rows.items()})
 
 
-def reject_late(self, request, share, make_plan, again=False):
+def reject_late(self, request, share, make_plan, readmission=False):
     self.environment.sleep(5.0)
     raise verdict.Rejection(503, "late", 1)
 
@@ -112,7 +112,7 @@
     return min(rows, key=lambda t: t.born, default=None)
 
 
-def ticket(self, tenant, share, event):
+def numbered_entry(self, tenant, share, event):
     self.tenant, self.share, self.event = tenant, share, event
     TICKETS.append(None)
     self.born = len(TICKETS)
@@ -121,8 +121,8 @@
 def first_come_first_served():
     """All queues as one, unbounded per tenant, as a plain queue would be."""
     stack = contextlib.ExitStack()
-    stack.enter_context(put(admission.Admission, head=first_come)())
-    stack.enter_context(put(admission.Ticket, __init__=ticket)())
+    stack.enter_context(put(admission.Admission, next_entry=first_come)())
+    stack.enter_context(put(admission.QueueEntry, __init__=numbered_entry)())
     stack.enter_context(put(constants, MAX_TENANT_QUEUED_REQUESTS=constants.MAX_QUEUED_REQUESTS)())
     return stack
 
@@ -131,7 +131,7 @@
     handle = PREFILL(environment, request, name, place, sequence, left, ready)
     KEPT.append(handle)
     other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
-    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.born)
+    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.created_at)
 
 
 def loose_ends(self):
@@ -147,9 +147,9 @@
 
 
 ADMIT = carry.Carry.admit
-SHARED = orders.OrderDuty.shared
+SHARED = orders.OrderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
-TAKE_LIST = replicas.Replicas.take_list
+TAKE_LIST = replicas.Replicas.update_list
 PREFILL = replica_adapter.prefill
 ITER = replica_adapter.Stream.__iter__
 KEPT = []
