--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -6,11 +6,11 @@
 import mothshed.constants as constants
 import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.limit_bounds as limit_bounds
 import mothshed.control_plane.list_duty as list_duty
 import mothshed.control_plane.member as member_module
+import mothshed.control_plane.operator_api as operator_api
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.permit_duty as permit_duty
 import mothshed.control_plane.reconfiguration as reconfiguration
@@ -138,7 +138,7 @@
             member.begin()
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
-    def front(self, make=keeper_front.KeeperFront):
+    def front(self, make=operator_api.OperatorApi):
         return front.Server(self.settings["http"], make(self), constants.OPERATOR_SERVER_THREADS)
 
     def in_part(self, member, call):
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -6,7 +6,7 @@
 
 import mothshed.configuration.document as configuration
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.keeper_front as keeper_front
+import mothshed.control_plane.operator_api as operator_api
 import tests.fronts as fronts
 import tests.platform_site as platform_site
 
@@ -110,12 +110,12 @@
 def own_patch(member, base, order_id, **change):
     """(status, headers, body) of a change by named items on our own front; change: put, remove."""
     body = {"base": base, "id": order_id, **change}
-    return fronts.call(keeper_front.KeeperFront(keeper(member)), "PATCH", "/configuration", body)
+    return fronts.call(operator_api.OperatorApi(keeper(member)), "PATCH", "/configuration", body)
 
 
 def own_put(member, base, order_id):
     body = {"base": base, "document": configuration.EXAMPLE, "id": order_id}
-    return fronts.call(keeper_front.KeeperFront(keeper(member)), "PUT", "/configuration", body)[:2]
+    return fronts.call(operator_api.OperatorApi(keeper(member)), "PUT", "/configuration", body)[:2]
 
 
 def get(member):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,7 +11,7 @@
 import mothshed.configuration.document as configuration
 import mothshed.configuration.settings as settings
 import mothshed.constants as constants
-import mothshed.control_plane.keeper_front as keeper_front
+import mothshed.control_plane.operator_api as operator_api
 import mothshed.transport.link as link
 import mothshed.transport.peers as peers
 import mothshed.transport.records as records
@@ -112,7 +112,7 @@
     ],
 )
 def test_a_bad_configuration_names_every_fault_and_applies_nothing(day, body, paths):
-    app = keeper_front.KeeperFront(day.parts[day.leader()])
+    app = operator_api.OperatorApi(day.parts[day.leader()])
     status, headers, said = fronts.call(app, "PUT", "/configuration", body)
     assert status == 400 and said["error"]["verdict"] == "not_run"
     assert [f.split(":")[0] for f in said["error"].get("faults", [])] == paths
--- a/tests/test_operate_keys.py
+++ b/tests/test_operate_keys.py
@@ -9,7 +9,7 @@
 
 import mothshed.configuration.document as configuration
 import mothshed.configuration.tenant_keys as tenant_keys
-import mothshed.control_plane.keeper_front as keeper_front
+import mothshed.control_plane.operator_api as operator_api
 import mothshed.programs.ask as ask
 import mothshed.programs.operate as operate
 import tests.fronts as fronts
@@ -25,7 +25,7 @@
     member = operators.Member()
     parts = operators.keeper(member)
     parts.leader_tasks = [types.SimpleNamespace(report=dict)]
-    front, sent = keeper_front.KeeperFront(parts), []
+    front, sent = operator_api.OperatorApi(parts), []
 
     def any_of(_keepers, method, path, body=None):
         sent.append((method, path, body))
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -3,7 +3,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.keeper_front as keeper_front
+import mothshed.control_plane.operator_api as operator_api
 import tests.fronts as fronts
 import tests.operators as operators
 import tests.platform_site as platform_site
@@ -14,11 +14,11 @@
     "own put": lambda member: operators.own_put(member, 0, "x"),
     "platform patch": lambda member: operators.patch(member, 0, 5, WHOLE_CHANGE)[:2],
     "platform get": operators.get,
-    "own get": lambda member: fronts.call(keeper_front.KeeperFront(operators.keeper(member)), "GET", "/configuration")[
+    "own get": lambda member: fronts.call(operator_api.OperatorApi(operators.keeper(member)), "GET", "/configuration")[
         :2
     ],
     "own history": lambda m: fronts.call(
-        keeper_front.KeeperFront(operators.keeper(m)), "GET", "/configuration/history"
+        operator_api.OperatorApi(operators.keeper(m)), "GET", "/configuration/history"
     )[:2],
 }
 
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -8,7 +8,7 @@
 import random
 
 import mothshed.control_plane.keeper as keeper_module
-import mothshed.control_plane.keeper_front as keeper_front
+import mothshed.control_plane.operator_api as operator_api
 import mothshed.data_plane.router as router_module
 import mothshed.data_plane.router_front as router_front
 import mothshed.runtime.log_buffer as log_buffer
@@ -126,7 +126,7 @@
         keeper = keeper_module.Keeper(make(), settings, make, disk, mark)
         keeper.run()
         self.parts[name] = keeper
-        self.net.apps[settings["http"]] = (machine, keeper_front.KeeperFront(keeper))
+        self.net.apps[settings["http"]] = (machine, operator_api.OperatorApi(keeper))
 
     def add_router(self, name, at):
         self.machine(name)
