--- a/mothshed/control_plane/config_leader_task.py
+++ b/mothshed/control_plane/config_leader_task.py
@@ -134,7 +134,7 @@
             return
         entry = self.leaseholders.setdefault(sender, leaseholder.Leaseholder())
         entry.record_request(body, self.environment.now())
-        self.member.confirm(lambda confirmed: confirmed and self.grant_lease(sender, body))
+        self.member.confirm_leadership(lambda confirmed: confirmed and self.grant_lease(sender, body))
 
     def lease_length(self):
         machine, now = self.machine, self.environment.now()
--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -69,7 +69,7 @@
         """What query() returns once a majority has confirmed this leader; raises NotConfirmed."""
 
         def begin(call: PendingCall) -> None:
-            self.member.confirm(lambda confirmed: call.finish(query() if confirmed else NotConfirmed()))
+            self.member.confirm_leadership(lambda confirmed: call.finish(query() if confirmed else NotConfirmed()))
 
         try:
             return self.run(begin)
@@ -104,7 +104,7 @@
         machine = self.member.machine
         known_result = machine.known_result(command) if command["base"] <= machine.latest else None
         if known_result:  # it would change nothing: no entry is needed, only a majority's word that this is the newest
-            self.member.confirm(lambda confirmed: call.finish(known_result if confirmed else NotConfirmed()))
+            self.member.confirm_leadership(lambda confirmed: call.finish(known_result if confirmed else NotConfirmed()))
         elif command["id"] in self.proposed:  # sent again while the first is under way: one entry is enough
             self.proposed[command["id"]].append(call)
         else:
--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/carry.py
@@ -26,7 +26,7 @@
         self.chart = charts.load("request")
         self.fails = []
         self.ran = False  # some send of this request ran or may have
-        self.ask = replica_adapter.ask_of(request, self.environment.random)
+        self.ask = replica_adapter.unique_request_id(request, self.environment.random)
         self.sends = {"prefill": 0, "decode": 0}  # those written to a replica
         self.tries, self.number = 0, 0  # prefills begun; sends named
         self.without = set()
@@ -41,7 +41,7 @@
 
     def let_go(self):
         if self.handle:
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
             self.handle = None
 
     def rounds(self):
@@ -66,9 +66,9 @@
         if e.replica:
             self.without.add(e.replica)
             if e.verdict is NOT_RUN and e.reason.startswith("status 503"):
-                self.router.replicas.full(e.replica)
+                self.router.replicas.mark_full(e.replica)
             if e.reason.startswith(("NewConnection", "ConnectTimeout")):
-                self.router.replicas.doubt(e.replica)
+                self.router.replicas.suspect(e.replica)
         self.router.journal.add(
             "send_failed", outcome=e.verdict.value, replica=e.replica, reason=e.reason, request=self.request.id
         )
@@ -77,7 +77,7 @@
         """Returns if the whole request may be done over; raises its end otherwise."""
         if self.chart.state == "relaying":
             self.chart.step("break")
-            raise verdict.StreamBroken(str(e)) from e
+            raise verdict.StreamInterrupted(str(e)) from e
         held = self.ran and not self.request.safe
         if held or self.tries >= constants.MAX_PREFILL_ATTEMPTS or not self.may_send_more():
             self.end()
@@ -87,7 +87,7 @@
         cost = sum(1 for n in self.sends.values() if n)
         until = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
         while self.environment.now() < self.request.cutoff:
-            if self.router.budget.extra(cost):
+            if self.router.retry_budget.take_or_borrow(cost):
                 return True
             if self.environment.now() >= until:
                 return False
@@ -116,13 +116,13 @@
             if plan is None and self.without:
                 plan = planning.make(router.replicas, sequence, document, request, router.cell)
             if plan:
-                router.replicas.begin(plan.reader.name)
-                router.replicas.begin(plan.writer.name)
+                router.replicas.request_started(plan.prefill_replica.name)
+                router.replicas.request_started(plan.decode_replica.name)
             return plan
 
         try:
             tenant = (router.lease.document() or {}).get("tenants", {}).get(request.tenant, {"share": 1})
-            return router.admission.enter(request, tenant["share"], make_plan, bool(self.tries))
+            return router.admission.admit(request, tenant["share"], make_plan, bool(self.tries))
         except verdict.Rejection as e:
             if self.ran:
                 self.fails.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)))
@@ -132,18 +132,18 @@
 
     def once(self, plan):
         replicas = self.router.replicas
-        self.reading, self.writing = plan.reader.name, plan.writer.name
+        self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
         try:
             self.prefill(plan)
-            replicas.end(self.reading)
+            replicas.request_ended(self.reading)
             self.reading = None
-            self.router.admission.nudge()
+            self.router.admission.wake_head()
             yield from self.relay(self.decode(plan))
         finally:
             for name in (self.reading, self.writing):
                 if name:
-                    replicas.end(name)
-            self.router.admission.nudge()
+                    replicas.request_ended(name)
+            self.router.admission.wake_head()
 
     def relay(self, parts):
         stream, row, rows = parts
