--- a/mothshed/configuration/document.py
+++ b/mothshed/configuration/document.py
@@ -1,15 +1,15 @@
-"""The operators' configuration document: its shape and its checking.
-
-A document is whole: it names the model, the kinds of request, the tenants, the
-pools (selectors over replica labels, with split bounds, or without a split) and the pairings (which
-requests go to which pool under which policy). It may also name routes: requests of a
-host and a prefix that are delivered as they come, each with its kind (safe or unsafe to
-repeat, or a stream), cutoff, aim, tries and pools by share; `limits` bounds what user
-agents may send, and `as_sent` keeps the text an operator's own form came in. Tenants may have API keys, of which
-only digests stand here, an urgency, and a limit on their requests: `rate_per_s` and a `burst` above it, over the
-whole fleet; no rate, or 0, is no limit. With `require_key` a request needs the key of a tenant, except on a route
-that is `anonymous`. `check` returns every fault with
-its path, so that an operator mends all of them at once.
+"""Schema and validation of the operators' configuration document.
+
+A document is complete: it defines the model, the request kinds, the tenants, the
+pools (selectors over replica labels, with bounds on the prefill/decode split or without a split) and the
+pairings (which requests go to which pool under which policy). It may also define routes: requests for a
+host and path prefix that are forwarded unchanged, each with its kind (safe or unsafe to
+repeat, or a stream), cutoff, target time, number of tries, and pools by share. `limits` bounds what clients
+may send, and `as_sent` keeps the operator's original text if an adapter translated it. Tenants may have API keys, of
+which only digests are stored, an urgency, and a request limit: `rate_per_s` and a `burst` above it, across the
+whole fleet; no rate, or 0, means no limit. With `require_key` a request needs the key of a tenant, except on a route
+that is `anonymous`. `validation_errors` returns all errors with their paths, so that an operator can
+fix them all at once.
 
 >>> validation_errors({"model": 3})[0]
 'kinds: required key not provided'
@@ -33,7 +33,7 @@
 
 
 def number(value: object) -> int | float:
-    """Accepts whole and other numbers, but neither truth values nor what is no number."""
+    """Accept integers and floats, but neither booleans nor NaN."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or math.isnan(value):
         raise voluptuous.Invalid("expected a number")
     return value
@@ -121,7 +121,7 @@
 
 
 def validation_errors(document):
-    """Every fault as 'path: what is wrong'; an empty list means valid."""
+    """All errors as 'path: message'; an empty list means that the document is valid."""
     try:
         DOCUMENT(document)
     except voluptuous.MultipleInvalid as invalid:
@@ -138,7 +138,7 @@
 
 
 def route_errors(document):
-    """Faults that no single entry shows: unknown pools, shares without weight, two routes in one place."""
+    """Errors across entries: unknown pools, shares that add up to 0, routes with the same host and prefix."""
     errors, seen = [], {}
     for index, row in enumerate(document.get("routes", [])):
         errors += [
@@ -150,11 +150,11 @@
             errors.append(f"routes.{index}.pools: the shares add up to 0")
         host_and_prefix = (row["host"].lower(), row["prefix"])
         if host_and_prefix in seen:
-            errors.append(f"routes.{index}: host and prefix are those of routes.{seen[host_and_prefix]}")
+            errors.append(f"routes.{index}: same host and prefix as routes.{seen[host_and_prefix]}")
         seen.setdefault(host_and_prefix, index)
     return errors
 
 
 def with_defaults(document):
-    """The document with defaults filled in."""
+    """A copy of the document with defaults filled in."""
     return DOCUMENT(document)
--- a/mothshed/configuration/document_change.py
+++ b/mothshed/configuration/document_change.py
@@ -1,8 +1,8 @@
 """Changes of a configuration document by named items.
 
-A change puts items into sections of a document and removes others by name; what it does not name stays as it
-is. A section is either a list of objects that carry a `name`, or an object that maps names to items. A change
-is applied whole or not at all, always to a copy.
+A change puts items into sections of a document and removes others by name; everything else stays as it
+is. A section is either a list of objects with a `name`, or an object that maps names to items. A change
+is applied completely or not at all, and always to a copy.
 
 >>> document = {"routes": [{"name": "a", "n": 1}, {"name": "b"}], "pools": {"main": {}}}
 >>> change = parse_change({"routes": [{"name": "a", "n": 2}, {"name": "c"}]}, {"routes": ["b"]})
@@ -21,7 +21,7 @@
 
 
 class ChangeError(Exception):
-    """A change that can't be applied; `errors` lists everything that is wrong, as 'path: what is wrong'."""
+    """A change that can't be applied; `errors` lists everything that is wrong, as 'path: message'."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -33,7 +33,7 @@
     """The items to put into one section, by name."""
 
     items: dict[str, Item]
-    as_list: bool  # they came as a list of objects that carry their names
+    as_list: bool  # given as a list of objects with names
 
 
 EMPTY_SECTION = PutSection({}, False)
@@ -41,14 +41,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Change:
-    """A change whose form is right: per section the items to put, and the names to remove."""
+    """A well-formed change: the items to put and the names to remove, by section."""
 
     put: dict[str, PutSection]
     remove: dict[str, list[str]]
 
 
 def parse_change(put: typing.Any, remove: typing.Any) -> Change:
-    """A change from its two objects as an operator sent them; raises ChangeError if their form is wrong."""
+    """Parse a change from the two objects that an operator sent; raises ChangeError if they are malformed."""
     errors: list[str] = []
     sections = _put_sections(put, errors)
     names = _names_to_remove(remove, errors)
@@ -84,7 +84,7 @@
         if not name:
             errors.append(f"put.{section}.{position}: expected an object with a name")
         elif name in items:
-            errors.append(f"put.{section}.{position}: {name!r} stands twice")
+            errors.append(f"put.{section}.{position}: {name!r} appears twice")
         else:
             items[name] = row
     return items
@@ -99,16 +99,16 @@
         if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
             errors.append(f"remove.{section}: expected a list of names")
         elif len(set(names)) < len(names):
-            errors.append(f"remove.{section}: a name stands twice")
+            errors.append(f"remove.{section}: a name appears twice")
         else:
             names_by_section[section] = names
     return names_by_section
 
 
 def apply_change(document: Document, change: Change) -> Document:
-    """A copy of the document with the change in it; raises ChangeError, and changes nothing, if it does not fit.
+    """Return a copy of the document with the change applied; raises ChangeError if it can't be applied.
 
-    An item that is put takes the place of the one of its name, or comes last.
+    An item that is put replaces the item of the same name, or is appended.
     """
     errors: list[str] = []
     result = dict(document)
@@ -138,7 +138,7 @@
 
 
 def _name_of(row: Item) -> str:
-    """The name of an item of a list, "" if it has none."""
+    """The name of a list item, or "" if it has none."""
     name = row.get("name") if isinstance(row, dict) else None
     return name if isinstance(name, str) else ""
 
--- a/mothshed/configuration/document_difference.py
+++ b/mothshed/configuration/document_difference.py
@@ -1,10 +1,10 @@
-"""The difference between two configuration documents, and its application.
+"""Computes and applies the difference between two configuration documents.
 
-A process that holds a document is sent the difference to a newer one instead of the whole. Documents are JSON
-objects of sections. In the sections that map names to items, and in the list of routes, single items are put and
-removed; any other section that changed is sent whole. Applying a difference to its base gives exactly the newer
-document, the order of names included: a section for which items alone would not do that is sent whole too. What
-did not change is the same object in both documents, so that whatever was made from it still holds.
+A process that holds a document is sent the difference to a newer one instead of the whole document. Documents are
+JSON objects of sections. In sections that map names to items, and in the list of routes, single items are put and
+removed; any other changed section is sent whole. Applying a difference to its base yields exactly the newer
+document, including the order of names; a section whose order items alone would not reproduce is sent whole too.
+Unchanged sections are the same objects in both documents, so data derived from them remains valid.
 
 >>> base = {"model": "a", "pools": {"main": {"shift": True}, "old": {}}, "routes": [{"name": "r"}]}
 >>> newer = {"model": "b", "pools": {"main": {"shift": True}, "new": {}}, "routes": [{"name": "r"}]}
@@ -22,17 +22,17 @@
 
 Section = typing.Any
 Document = dict[str, Section]
-Difference = dict[str, typing.Any]  # as it is sent: "put", "removed", "whole", "gone", "order", each only if needed
+Difference = dict[str, typing.Any]  # wire format: "put", "removed", "whole", "gone", "order", each only if needed
 
 NAMED_SECTIONS = frozenset({"tenants", "pools", "routes"})
 
 
 class DifferenceError(Exception):
-    """A difference that does not fit the document it is applied to."""
+    """A difference that can't be applied to its document."""
 
 
 def difference(base: Document, newer: Document) -> Difference:
-    """What `apply_difference` needs to make the newer document of the base."""
+    """The difference with which `apply_difference` turns the base into the newer document."""
     put: dict[str, Section] = {}
     removed: dict[str, list[str]] = {}
     whole: dict[str, Section] = {}
@@ -60,7 +60,7 @@
 
 
 def apply_difference(base: Document, change: Difference) -> Document:
-    """The newer document; the base stays as it is. Raises DifferenceError if the difference does not fit."""
+    """The newer document; the base is not modified. Raises DifferenceError if the difference can't be applied."""
     result = dict(base)
     try:
         named_changes = document_change.Change(
@@ -73,11 +73,11 @@
             del result[section]
         return {section: result[section] for section in change.get("order", result)}
     except (document_change.ChangeError, AttributeError, KeyError, TypeError) as error:
-        raise DifferenceError(f"it does not fit: {error!r}") from error
+        raise DifferenceError(f"difference can't be applied to its base: {error!r}") from error
 
 
 def same_json(one: Section, other: Section) -> bool:
-    """Whether two JSON values are the same, down to the order of names and the kind of each number."""
+    """Whether two JSON values are identical, including the order of names and the type of each number."""
     return one is other or json.dumps(one) == json.dumps(other)
 
 
@@ -102,7 +102,7 @@
 
 
 def _by_name(value: Section) -> dict[str, Section] | None:
-    """A section's items by name, in their order; None if it does not consist of items with names of their own."""
+    """The items of a section by name, in order; None unless all items have distinct names."""
     if isinstance(value, dict):
         return value
     if not isinstance(value, list):
@@ -114,5 +114,5 @@
 
 
 def _order_after(old: dict[str, Section], put: dict[str, Section], removed: list[str]) -> list[str]:
-    """The order of names that putting and removing leaves: changed items stay in place, new ones come last."""
+    """The order of names after putting and removing: changed items keep their position, new ones are last."""
     return [name for name in {**old, **put} if name not in removed]
--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -1,12 +1,12 @@
-"""The holder's side of the configuration lease.
-
-A process serves only while a lease runs, and the lease is counted from the
-moment it asked, so whatever delay or freeze follows only shortens it. While a
-newer document is staged here, no lease lasts more than SHORT_LEASE_S. A document comes
-whole, or as the difference to one that is held here (`changes`); where that base is
-missing, the next ask says that it takes none, and the whole is sent. `sequence`
-is the check made right before every send: it gives the sequence to serve under,
-or None. All of it runs in one mailbox; readers in other threads see one tuple.
+"""The leaseholder's side of the configuration lease.
+
+A process serves only while it holds a lease. The lease counts from the time of
+the request, so any delay or pause after that only shortens it. While a newer document
+is staged here, no lease lasts longer than SHORT_LEASE_S. A document arrives whole, or
+as the difference to a document held here (`changes`). If that base is missing, the next
+request declines differences and the whole document is sent. `sequence` is
+the check made right before every send: it returns the sequence to serve, or None.
+All of this runs in one mailbox; other threads read one published tuple.
 """
 
 import dataclasses
@@ -19,37 +19,36 @@
 
 @dataclasses.dataclass
 class RequestCounts:
-    """What became of the asks since the lease last ran: tells why none runs."""
+    """Outcomes of the requests since the last valid lease; they show why there is none."""
 
     sent: int = 0
-    redirected: int = 0  # the one that was asked does not lead
-    empty_grants: int = 0  # the leader grants no lease of the version held here
+    redirected: int = 0  # the receiver was not the leader
+    empty_grants: int = 0  # the leader grants no lease for the version held here
 
 
 class Lease:
     def __init__(self, environment, keeper_addresses, changed=lambda: None):
         self.environment = environment
-        self.keeper_addresses = keeper_addresses  # () -> addresses that may know the leader
+        self.keeper_addresses = keeper_addresses  # () -> addresses of keepers that may know the leader
         self.changed = changed
         self.leader = ""
-        self.docs = {}  # sequence -> document: the active one, and what is staged
-        self.previous_documents = {}  # the same for the previously active document: changes from it may be in flight
-        self.takes_changes = True  # False from a change that does not fit until the next document
+        self.docs = {}  # sequence -> document: the active and the staged ones
+        self.previous_documents = {}  # the previously active document: differences to it may be in flight
+        self.takes_changes = True  # False from a failed difference until the next document
         self.active, self.staged = 0, 0
         self.valid_until = 0.0
         self.published = (0, 0.0, None)  # (active, until, document), read by other threads
-        self.request_mark = int(
-            environment.now() * constants.REQUEST_MARKS_PER_S
-        )  # of the last ask; no life before used the same
+        # mark of the last request; starts at the clock so that a restarted process never reuses a mark
+        self.request_mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)
         self.requested_at = {}  # mark -> time of the request
-        self.last_contact = environment.now()  # when the leader last answered
+        self.last_contact = environment.now()  # time of the last answer of a leader
         self.started_at = environment.now()
-        self.news_number = 0  # latest news number
+        self.news_number = 0  # number of the latest news record
         self.next_keeper_index = 0
-        self.last_request = -constants.LEASE_RENEWAL_INTERVAL_S  # when it last asked
+        self.last_request = -constants.LEASE_RENEWAL_INTERVAL_S  # time of the last request
         self.next_tick = None
         self.request_counts = RequestCounts()
-        self.staged_at: dict[int, float] = {}  # sequence -> when its document came
+        self.staged_at: dict[int, float] = {}  # sequence -> time at which its document arrived
         self.report_limiter = log_buffer.RateLimiter(
             constants.MAX_VERSION_REPORT_BURST_LINES, constants.VERSION_REPORT_LINES_PER_S
         )
@@ -66,8 +65,8 @@
         )
 
     def renew_soon(self) -> None:
-        """Ask at once, or one short interval after the last time: a short lease runs out before the usual one."""
-        if not self.next_tick:  # the first tick is still to come
+        """Request a lease now, or one short interval after the last request, since a short lease expires early."""
+        if not self.next_tick:  # not started yet
             return
         self.next_tick.cancel()
         wait = self.last_request + constants.SHORT_LEASE_RENEWAL_INTERVAL_S - self.environment.now()
@@ -96,7 +95,7 @@
             )
 
     def next_keepers(self):
-        """While no leader is known: a few at once, in a steady order so that none is passed over."""
+        """The next few keepers to ask while no leader is known, in a fixed order so that none is skipped."""
         known = sorted(set(self.keeper_addresses()))
         self.next_keeper_index += constants.MAX_LEASE_REQUEST_MEMBERS
         return [
@@ -124,7 +123,7 @@
         if self.staged > body["active"]:
             length = min(length, constants.SHORT_LEASE_S)
         self.activate(body["active"])
-        if self.active == body["active"] and length > 0:  # a grant of no length says only who leads
+        if self.active == body["active"] and length > 0:  # a grant of length 0 only identifies the leader
             self.report_gap(requested_at + length)
             self.valid_until = max(self.valid_until, requested_at + length)
         else:
@@ -141,7 +140,7 @@
         self.publish()
 
     def documents_in_record(self, body: dict[str, typing.Any]) -> list[tuple[int, document_difference.Document]]:
-        """The documents of a record, by sequence: those that came whole, and those that its changes lead to."""
+        """The documents of a record, by sequence: the whole ones, and those rebuilt from its differences."""
         documents = {sequence: document for sequence, document in body["docs"]}
         for sequence, base, change in body.get("changes", ()):
             document = self.rebuilt_document(base, change, documents)
@@ -155,7 +154,7 @@
         change: document_difference.Difference,
         received: dict[int, document_difference.Document],
     ) -> document_difference.Document | None:
-        """The document that a change makes of its base; None, and the whole is asked for, if that can't be told."""
+        """The document that a difference yields; None if that fails, and then the whole document is requested."""
         base_document = received.get(base) or self.docs.get(base) or self.previous_documents.get(base)
         try:
             if base_document is not None:
@@ -191,17 +190,17 @@
         for older in [s for s in self.docs if s < sequence]:
             del self.docs[older]
         self.report_version(previous)
-        self.renew_soon()  # what is left of a short lease ends soon; the next one may be long
+        self.renew_soon()  # the current lease may be short; the next one may be long
 
     def report_version(self, previous: int) -> None:
-        """Report that another version is in force here, and how long its document waited for that."""
+        """Report that another version is in force here, and how long its document was staged."""
         staged_s = round(self.environment.now() - self.staged_at[self.active], 3)
         self.staged_at = {s: at for s, at in self.staged_at.items() if s > self.active}
         fields = {"sequence": self.active, "former": previous, "staged_s": staged_s, "leader": self.leader}
         log_buffer.report_limited(self.report_limiter, "version_in_force", **fields)
 
     def report_gap(self, valid_until: float) -> None:
-        """Report how long no lease ran, if this one ends such a time; counted from the start for the first."""
+        """Report the gap without a lease, if a new lease ends one; the first gap counts from the start."""
         now = self.environment.now()
         missing_s = now - max(self.valid_until, self.started_at)
         if valid_until > now and missing_s > constants.MIN_REPORTED_LEASE_GAP_S:
@@ -217,7 +216,7 @@
             self.changed()
 
     def sequence(self):
-        """The sequence to serve under now, or None."""
+        """The sequence to serve now, or None without a lease."""
         active, valid_until, doc = self.published
         return active if doc is not None and self.environment.now() < valid_until else None
 
@@ -225,6 +224,6 @@
         return self.published[2]
 
     def current(self) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """(sequence to serve under now or None, its document), both of one moment."""
+        """(sequence to serve now or None, active document), read consistently."""
         active, valid_until, doc = self.published
         return (active, doc) if doc is not None and self.environment.now() < valid_until else (None, doc)
--- a/mothshed/configuration/manifests.py
+++ b/mothshed/configuration/manifests.py
@@ -1,8 +1,8 @@
-"""Gateway-style manifests, a small subset, translated to a configuration document.
+"""Translates a small subset of Kubernetes Gateway API manifests to a configuration document.
 
-Each object is checked whole by a schema that knows only what is supported, so an
-unsupported field is an error with its place and is never passed over. The result
-goes through the same check as any operator's document.
+The schema of each object contains only what is supported, so an unsupported field is
+reported as an error with its path and never ignored. The result is validated
+like any other operator's document.
 """
 
 import voluptuous
@@ -12,7 +12,7 @@
 
 
 class ManifestError(Exception):
-    """Every fault of a manifest, each with its place."""
+    """All errors of a manifest, each with its path."""
 
     def __init__(self, errors):
         super().__init__("\n".join(errors))
@@ -83,7 +83,7 @@
 
 
 def translate(text):
-    """The configuration document of a manifest. Raises ManifestError."""
+    """Translate the text of manifests to a configuration document; raises ManifestError."""
     try:
         items = [item for item in yaml.safe_load_all(text) if item is not None]
     except yaml.YAMLError as error:
@@ -125,7 +125,7 @@
 
 
 def pairings(rule):
-    """One pairing per match: headers within a match must all fit, matches are alternatives."""
+    """The pairings of a rule, one per match: all headers of a match must apply, matches are alternatives."""
     base = {"pool": rule["backendRefs"][0]["name"], "policy": "least_usage"}
     if rule["filters"]:
         base["policy"] = rule["filters"][0]["extensionRef"]["name"]
--- a/mothshed/configuration/settings.py
+++ b/mothshed/configuration/settings.py
@@ -1,9 +1,9 @@
-"""Settings: a process's place, from a file, flags over it; checked whole.
+"""Settings of a process, read from a JSON file and overridden by flags.
 
-The file is JSON. Every fault is listed with its path. A process needs its name,
-its peer and HTTP addresses, its zone (cell), three seed addresses of other
-processes and the platform's list; a keeper also its data folder and, if they are
-not the seeds, the first members of its groups; none if the groups were born long ago.
+All errors are reported with their paths. A process needs its name,
+its peer and HTTP addresses, its zone (`cell`), up to three seed addresses of other
+processes, and the URL of the platform's replica list. A keeper also needs its data folder and, unless they
+are the seeds, the first members of its consensus groups (an empty list if the groups were bootstrapped earlier).
 
 >>> validation_errors({"name": "r1"})[0]
 'address: required key not provided'
@@ -19,7 +19,7 @@
 
 
 class SettingsError(Exception):
-    """Settings with faults, each with its path."""
+    """Invalid settings; `errors` lists all errors, each with its path."""
 
     def __init__(self, errors):
         super().__init__("\n".join(errors))
@@ -85,7 +85,7 @@
 
 
 def load(path, flags, keeper=False):
-    """The settings of a process: the file's, with every given flag put over them."""
+    """Load the settings of a process from a file, overridden by the given flags; raises SettingsError."""
     settings = {}
     if path:
         try:
--- a/mothshed/configuration/tenant_keys.py
+++ b/mothshed/configuration/tenant_keys.py
@@ -1,7 +1,7 @@
-"""API keys of tenants: in which form they are kept, and whose key one is.
+"""API keys of tenants: their stored form, and the lookup of a key's tenant.
 
-A key itself stands nowhere in a document: only a digest of it does, so that nothing that shows a document, a
-log or a report can show a key.
+A document contains only digests of keys, never a key itself, so that no display of a document, log or
+report can reveal a key.
 
 >>> table = KeyTable({"tenants": {"repair": {"share": 1, "keys": [digest_of("secret")]}, "riders": {"share": 1}}})
 >>> table.tenant_of(digest_of("secret")), table.tenant_of(digest_of("Secret"))
@@ -27,14 +27,14 @@
 
 
 def digest_of_bytes(key: bytes) -> str:
-    """The digest of a key as its bytes came."""
+    """The digest of a key, given as the received bytes."""
     return hashlib.sha256(key).digest()[: constants.KEY_DIGEST_BYTES].hex()
 
 
 def digest_in(authorization: str) -> str | None:
-    """The digest of the key in an Authorization field of the Bearer scheme (RFC 6750); None if there is none.
+    """The digest of the key in an Authorization header with the Bearer scheme (RFC 6750); None if there is none.
 
-    authorization: the field's bytes as text, a character for each byte (Latin-1), as HTTP servers give them.
+    authorization: the header's bytes decoded as Latin-1, as WSGI servers provide them.
 
     >>> digest_in("bearer secret") == digest_of("secret"), digest_in("Basic secret"), digest_in("secret")
     (True, None, None)
@@ -45,23 +45,23 @@
 
 
 class KeyTable:
-    """Which tenant holds which key, by one document."""
+    """Maps the key digests of one document to tenants."""
 
     def __init__(self, document: dict[str, typing.Any]) -> None:
         self.tenants = {digest: name for name, row in document["tenants"].items() for digest in row.get("keys", ())}
 
     def tenant_of(self, digest: str | None) -> str | None:
-        """The tenant that holds the key with this digest, None if nobody does."""
+        """The tenant of the key with this digest, or None."""
         return self.tenants.get(digest) if digest else None
 
 
 def shared_key_errors(tenants: collections.abc.Mapping[str, dict[str, typing.Any]]) -> list[str]:
-    """Faults of keys that two tenants hold, by path; the key itself is not named."""
+    """Errors, with paths, for keys that belong to two tenants; the messages do not contain the key."""
     errors: list[str] = []
     first: dict[str, str] = {}  # digest -> the first tenant with that key
     for name, row in tenants.items():
         for position, digest in enumerate(row.get("keys", ())):
             other = first.setdefault(digest, name)
             if other != name:
-                errors.append(f"tenants.{name}.keys.{position}: it is a key of {other!r} too")
+                errors.append(f"tenants.{name}.keys.{position}: already a key of tenant {other!r}")
     return errors
--- a/mothshed/control_plane/config_leader_task.py
+++ b/mothshed/control_plane/config_leader_task.py
@@ -1,12 +1,13 @@
-"""The configuration part: whole documents, compare-and-set, stage then activate.
-
-Every member applies `config_machine`; the duty here is what only the leader does:
-it answers the asks of those that serve (each after a majority confirmed it),
-pushes numbered news, counts acknowledgements and activates a staged document
-once every leaseholder it may have has staged it or lapsed. The timing argument
-is in docs/configuration.md. A new leader does not know the leaseholders: it activates
-nothing before its predecessors' leases have run out. It grants older leases for as long
-as it can prove that what was staged then is not acknowledged for too long.
+"""Leader task of the configuration part: grants leases, distributes documents and activates staged ones.
+
+Every member applies `config_machine`; only the leader runs this task. It answers lease
+requests (each only after a majority has confirmed the leader), pushes numbered news
+records, collects acknowledgements, and activates a staged document once every possible
+leaseholder has either staged it or lost its lease. docs/configuration.md gives the timing argument.
+
+A new leader does not know the existing leaseholders, so it activates nothing before the
+leases of its predecessors have expired. While a document is staged, it keeps granting leases of
+the active one only as long as it can prove that the staged document was not acknowledged too long ago.
 """
 
 import math
@@ -26,15 +27,15 @@
         self.leading = False
         self.delivery = document_delivery.DocumentDelivery(lambda: self.machine.docs)
         self.leaseholders = {}  # address -> leaseholder.Leaseholder
-        self.staged_at = {}  # sequence not active yet -> a moment at or before its commit; -inf if none is known
-        self.acknowledged_by = {}  # news number -> addresses
+        self.staged_at = {}  # sequence not active yet -> a time at or before its commit; -inf if unknown
+        self.acknowledged_by = {}  # news number -> addresses that acknowledged it
         self.news_number = 0
         self.activation_proposed = False
-        self.redirected_requests = {}  # address -> (when, mark): asked here while this was not the leader
+        self.redirected_requests = {}  # address -> (time, mark) of a request received while not the leader
         self.report_limiter = log_buffer.RateLimiter(
             constants.MAX_VERSION_REPORT_BURST_LINES, constants.VERSION_REPORT_LINES_PER_S
         )
-        self.withheld_sequence = 0  # the newest sequence for which no lease of an older one was granted
+        self.withheld_sequence = 0  # newest sequence for which leases of older ones were refused
         member.leader_tasks.append(self)
         self.machine.changed = self.handle_change
         self.environment.subscribe("ask", self.on_ask, 0)
@@ -56,7 +57,7 @@
         self.tick()
 
     def earliest_commit_time(self, index: int | None) -> float:
-        """A moment before which an inherited entry was not committed, and so not acknowledged; -inf if not known."""
+        """A time before which an inherited entry was not committed, and so not acknowledged; -inf if unknown."""
         moment = None if index is None else self.member.not_committed_before(index)
         return -math.inf if moment is None else float(moment)
 
@@ -81,7 +82,7 @@
             self.try_activate()
 
     def report_activation(self, sequence: int) -> None:
-        """Report an activation: how long it took, and how many leaseholders lapsed rather than stage it."""
+        """Report an activation: how long it took, and which leaseholders lapsed instead of staging it."""
         after = self.environment.now() - self.staged_at.get(sequence, math.inf)
         fields = {"sequence": sequence, "after_s": round(after, 3) if after >= 0 else None}
         log_buffer.report_limited(
@@ -89,12 +90,12 @@
         )
 
     def lagging_leaseholders(self, sequence: int) -> list[str]:
-        """A few leaseholders that have not staged a sequence."""
+        """Up to MAX_NAMED_PROCESSES leaseholders that have not staged a sequence."""
         lagging = sorted(address for address, entry in self.leaseholders.items() if entry.staged < sequence)
         return lagging[: constants.MAX_NAMED_PROCESSES]
 
     def report_withheld_leases(self) -> None:
-        """Report, once for each version, that older ones are leased no longer though it is not active."""
+        """Report, once per version, that leases of older versions are refused although it is not active yet."""
         if self.withheld_sequence < self.machine.latest:
             self.withheld_sequence = self.machine.latest
             fields = {"latest": self.machine.latest, "active": self.machine.active}
--- a/mothshed/control_plane/config_machine.py
+++ b/mothshed/control_plane/config_machine.py
@@ -1,4 +1,4 @@
-"""The configuration as its part agrees on it: documents by sequence, which is active, which orders were taken."""
+"""Replicated state machine of the configuration: documents by sequence, the active one, and the accepted orders."""
 
 import collections.abc
 import json
@@ -7,27 +7,26 @@
 import mothshed.constants as constants
 import mothshed.control_plane.accepted_orders as accepted_orders
 
-Command = dict[str, typing.Any]  # an entry's command, by its `op`
-Result = dict[str, typing.Any]  # what became of it
+Command = dict[str, typing.Any]  # command of a log entry, distinguished by its `op`
+Result = dict[str, typing.Any]  # outcome of a command
 
 
 class ConfigMachine:
-    """The replicated state: documents still needed, and the record of taken orders."""
+    """The replicated state: the retained documents and the record of accepted orders."""
 
-    commands = frozenset({"stage", "activate"})  # what this release can apply
+    commands = frozenset({"stage", "activate"})  # commands that this release can apply
 
     def __init__(self) -> None:
         self.docs: dict[int, dict[str, typing.Any]] = {}  # sequence -> {"doc", "by", "id"}
-        self.sizes: dict[int, int] = {}  # sequence -> bytes of that row as JSON
+        self.sizes: dict[int, int] = {}  # sequence -> size in bytes of that row as JSON
         self.accepted = accepted_orders.AcceptedOrders()
         self.latest = self.active = 0
-        self.staged_log_index: dict[
-            int, int | None
-        ] = {}  # sequence not active yet -> index of its entry; None where only a snapshot tells of it
+        # sequence not active yet -> index of its log entry, or None if it was restored from a snapshot
+        self.staged_log_index: dict[int, int | None] = {}
         self.changed: collections.abc.Callable[[str, int], None] = lambda kind, sequence: None
 
     def apply(self, index: int, command: Command) -> Result:
-        """Apply a committed command, as every member does."""
+        """Apply a committed command; every member applies every command."""
         if command["op"] == "stage":
             return self.stage(index, command)
         if command["op"] == "activate" and self.active < command["sequence"] in self.docs:
@@ -38,7 +37,7 @@
         return {"active": self.active}
 
     def known_result(self, command: Command) -> Result | None:
-        """What a stage command would come to if it changes nothing; None if it would be taken."""
+        """The result of a stage command that would change nothing; None if it would be accepted."""
         sequence = self.accepted.sequence_of(command["id"])
         if sequence is not None:
             return {"sequence": sequence}
@@ -51,11 +50,11 @@
         return None
 
     def newest_document(self) -> dict[str, typing.Any] | None:
-        """The newest document that was accepted, or None before the first; the record always holds it."""
+        """The newest accepted document, which is always retained, or None before the first."""
         return self.docs[self.latest]["doc"] if self.latest else None
 
     def stage(self, index: int, command: Command) -> Result:
-        """Take a document on top of the newest one, or say why it is not taken."""
+        """Accept a document that is based on the newest one, or return why it is rejected."""
         result = self.known_result(command)
         if result:
             return result
@@ -68,7 +67,7 @@
         return {"sequence": self.latest}
 
     def drop_old_documents(self) -> None:
-        """Keeps the active document, the newest staged ones and a history bounded in count and bytes."""
+        """Keep the active document, the newest staged ones, and a history bounded in count and bytes."""
         staged = sorted(s for s in self.docs if s > self.active)
         older = sorted((s for s in self.docs if s < self.active), reverse=True)
         dropped, total = staged[: -constants.MAX_STAGED_DOCUMENTS], 0
@@ -82,13 +81,13 @@
             self.sizes.pop(sequence, None)
 
     def document_size(self, sequence: int) -> int:
-        """Bytes of a document's row as JSON."""
+        """Size in bytes of a document's row as JSON."""
         if sequence not in self.sizes:
             self.sizes[sequence] = len(json.dumps(self.docs[sequence]))
         return self.sizes[sequence]
 
     def dump(self) -> dict[str, typing.Any]:
-        """The state as a snapshot keeps it."""
+        """The state in the form in which snapshots store it."""
         return {
             "latest": self.latest,
             "active": self.active,
@@ -97,14 +96,14 @@
         }
 
     def restore(self, state: dict[str, typing.Any]) -> None:
-        """Take a snapshot's state."""
+        """Replace the state by that of a snapshot."""
         self.latest, self.active = state["latest"], state["active"]
         self.docs, self.sizes = {int(s): row for s, row in state["docs"]}, {}
         self.staged_log_index = {self.latest: None} if self.latest > self.active else {}
         self.accepted = accepted_orders.AcceptedOrders()
         if "taken" in state:
             self.accepted.restore(state["taken"])
-        else:  # a snapshot from before the record: its documents are the orders it remembers
+        else:  # snapshots of older releases have no record of orders: derive it from the documents
             for sequence, row in sorted(self.docs.items()):
                 self.accepted.add(row["id"], sequence)
             self.accepted.floor = min(self.docs, default=0)
--- a/mothshed/control_plane/document_delivery.py
+++ b/mothshed/control_plane/document_delivery.py
@@ -1,8 +1,8 @@
-"""Which documents a leaseholder is sent, and in which form: whole, or as the difference to one that it holds.
+"""Prepares documents for leaseholders: whole, or as the difference to a document that the leaseholder holds.
 
-The leader of the configuration part keeps the forms in which it delivered the newest documents, and works a
-difference out once for all leaseholders that hold the same base. Both are bounded: whoever holds an older base is sent
-the whole.
+The leader of the configuration part caches the newest documents as delivered, and computes a
+difference once for all leaseholders with the same base. Both caches are bounded: a leaseholder with an older
+base is sent the whole document.
 """
 
 import collections.abc
@@ -13,11 +13,11 @@
 import mothshed.constants as constants
 
 Document = document_difference.Document
-Documents = collections.abc.Mapping[int, dict[str, typing.Any]]  # sequence -> row with its `doc`, as the machine has it
+Documents = collections.abc.Mapping[int, dict[str, typing.Any]]  # sequence -> row of ConfigMachine.docs
 
 
 class MissingDocuments(typing.NamedTuple):
-    """What a leaseholder lacks: sequences, and the one it holds; 0 if it takes no changes."""
+    """Sequences that a leaseholder lacks, and the base it holds; base is 0 if it accepts no differences."""
 
     sequences: tuple[int, ...]
     base: int
@@ -25,19 +25,19 @@
 
 @dataclasses.dataclass(frozen=True)
 class Delivery:
-    """Documents in the form in which records carry them."""
+    """Documents as fields of a record."""
 
     docs: list[list[typing.Any]]  # rows of sequence and document
     changes: list[list[typing.Any]]  # rows of sequence, base and difference
 
 
 def deliverable_document(document: Document) -> Document:
-    """The document as processes that serve need it: without the text that its operator sent."""
+    """The document as serving processes need it: without the text that the operator sent."""
     return {key: value for key, value in document.items() if key != "as_sent"}
 
 
 class DocumentDelivery:
-    """The forms in which one leader delivers documents. documents: those that it has now, by sequence."""
+    """Cache of the documents that one leader delivers. documents: returns its current documents by sequence."""
 
     def __init__(self, documents: collections.abc.Callable[[], Documents]) -> None:
         self.documents = documents
@@ -45,7 +45,7 @@
         self.differences: dict[tuple[int, int], document_difference.Difference | None] = {}
 
     def delivery(self, missing: MissingDocuments) -> Delivery:
-        """What to send to a leaseholder that lacks these documents."""
+        """The documents and differences to send to a leaseholder that lacks these sequences."""
         delivery = Delivery([], [])
         for sequence in missing.sequences:
             change = self.difference(missing.base, sequence)
@@ -56,7 +56,7 @@
         return delivery
 
     def delivered_document(self, sequence: int) -> Document | None:
-        """A document in its delivered form; None if it is known no more."""
+        """A document as delivered; None if it is no longer retained."""
         known = self.delivered_documents.get(sequence)
         if known is not None:
             return known
@@ -68,7 +68,7 @@
         return document
 
     def drop_oldest(self) -> None:
-        """Keep the MAX_DELIVERED_DOCUMENTS newest forms, those that the leader has, and differences of them."""
+        """Keep the MAX_DELIVERED_DOCUMENTS newest documents, those the leader retains, and their differences."""
         leader_documents = self.documents()
         for sequence in sorted(self.delivered_documents)[: -constants.MAX_DELIVERED_DOCUMENTS]:
             if sequence not in leader_documents:
@@ -78,7 +78,7 @@
         }
 
     def difference(self, base: int, sequence: int) -> document_difference.Difference | None:
-        """The difference between two documents; None if the base is not known, or nothing would be saved."""
+        """The difference between two documents; None if the base is unknown or the difference would save nothing."""
         newer, older = self.delivered_document(sequence), self.delivered_document(base)
         if older is None or newer is None:
             return None
--- a/mothshed/control_plane/lease_bounds.py
+++ b/mothshed/control_plane/lease_bounds.py
@@ -1,4 +1,4 @@
-"""How long leases of the configuration may last, from the time in which a new one has to be in force."""
+"""Bounds on the duration of configuration leases, derived from the time limit for activating a change."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LeaseBounds:
-    """Bounds on leases; in_force_s: seconds after its acknowledgement in which a configuration is in force.
+    """Bounds on leases. in_force_s: seconds from its acknowledgement by which a configuration must be in force.
 
     >>> LeaseBounds(2.0).long_lease_s, round(LeaseBounds(2.0).older_lease_window_s, 2)
     (1.4, 1.6)
@@ -19,10 +19,10 @@
 
     @property
     def long_lease_s(self) -> float:
-        """Seconds of a lease while no change is under way."""
+        """Duration in seconds of a lease while no change is in progress."""
         return min(constants.LONG_LEASE_S, self.in_force_s - constants.ACTIVATION_MARGIN_S)
 
     @property
     def older_lease_window_s(self) -> float:
-        """Seconds after an acknowledgement for which short leases of an older configuration may be granted."""
+        """Seconds after an acknowledgement during which short leases of an older configuration may be granted."""
         return max(0.0, self.in_force_s - constants.ACTIVATION_MARGIN_S - constants.SHORT_LEASE_S)
--- a/mothshed/control_plane/leaseholder.py
+++ b/mothshed/control_plane/leaseholder.py
@@ -1,4 +1,4 @@
-"""What the leader of the configuration part knows of one process that serves under its leases."""
+"""What the leader of the configuration part knows about one process that serves under its leases."""
 
 import dataclasses
 import typing
@@ -9,17 +9,19 @@
 
 @dataclasses.dataclass
 class Leaseholder:
-    """One process that asks for leases."""
+    """One process that requests leases."""
 
-    lease_end: float = 0.0  # when its newest lease has surely lapsed
-    staged: int = 0  # the newest sequence that it has said it holds
-    active: int = 0  # the sequence that it serves under
-    last_request: float = 0.0  # when it last asked
-    takes_changes: bool = False  # whether documents may be sent to it as changes
-    sent: dict[int, float] = dataclasses.field(default_factory=dict)  # sequence -> when its document was last sent
+    lease_end: float = 0.0  # time by which its newest lease has expired, clock margin included
+    staged: int = 0  # the newest sequence that it reported to hold
+    active: int = 0  # the sequence that it serves
+    last_request: float = 0.0  # time of its last request
+    takes_changes: bool = False  # whether it accepts documents as differences
+    sent: dict[int, float] = dataclasses.field(
+        default_factory=dict
+    )  # sequence -> time at which its document was last sent
 
     def record_request(self, request: dict[str, typing.Any], now: float) -> None:
-        """Take what it says of itself in an ask; a process that started again holds less than the one before."""
+        """Record the state that a request reports. Less than before means that the process was restarted."""
         if (
             request["staged"] < self.staged
             or request["held"] < self.active
@@ -31,12 +33,12 @@
         self.last_request = now
 
     def next_missing(self, machine: typing.Any, now: float) -> document_delivery.MissingDocuments:
-        """What to send it now, as next_sequences says, and the document that it holds."""
+        """The documents to send now (see next_sequences) and the base for differences."""
         sequences = self.next_sequences(machine, now)
         return document_delivery.MissingDocuments(sequences, self.staged if self.takes_changes and sequences else 0)
 
     def next_sequences(self, machine: typing.Any, now: float) -> tuple[int, ...]:
-        """The documents to send now: the newest and the active one, if it lacks them and they are not on their way."""
+        """The sequences to send now, marked as sent: the newest and the active one if missing and not in flight."""
         self.sent = {s: at for s, at in self.sent.items() if now - at < constants.DOCUMENT_RESEND_S}
         needed = set()
         if self.staged < machine.latest:
--- a/mothshed/control_plane/operator_api.py
+++ b/mothshed/control_plane/operator_api.py
@@ -1,18 +1,18 @@
-"""The operator's front on every keeper: the configuration over HTTP and JSON.
+"""The operator's HTTP interface on every keeper: the configuration as JSON.
 
 GET /configuration            the active and the latest document
 PUT /configuration            {"base": sequence, "document": {...}, "by": "...", "id": "..."}
 PATCH /configuration          {"base": sequence, "put": {...}, "remove": {...}, "by": "...", "id": "..."}: changes
-                              named items of the newest document (document_change.py); answered as PUT is
-GET /configuration/history    the accepted documents that are kept, oldest first, without the text that an adapter
-                              took them from, which may hold keys; with ?id=ID, several if wanted, also
-                              `taken`: the sequence that each order was given, or null
-GET /condition, /metrics      this keeper
-
-A keeper that does not own part 0 sends the caller on with 307, to a leader that it
-heard of lately. Reads are confirmed by a majority; a leader without one answers 503 at
-once. A write whose end is not known in time is answered 504 with `may_have_run`; sending
-it again with its id resolves it.
+                              named items of the newest document (document_change.py); same responses as PUT
+GET /configuration/history    the retained documents, oldest first, without the text that an adapter
+                              received, which may contain keys; with one or more ?id=ID, also
+                              `taken`: the sequence that each order was assigned, or null
+GET /condition, /metrics      state and metrics of this keeper
+
+A keeper that does not lead part 0 redirects the client with 307 to a leader that it has
+heard from recently. Reads are confirmed by a majority; a leader without one answers 503
+immediately. A write whose outcome is not known in time is answered 504 with `may_have_run`;
+repeating it with the same id resolves it.
 """
 
 import collections.abc
@@ -31,8 +31,8 @@
 
 StartResponse = collections.abc.Callable[..., typing.Any]  # WSGI's start_response
 Environ = dict[str, typing.Any]  # WSGI's environ
-Command = dict[str, typing.Any]  # for the configuration part's log
-Result = dict[str, typing.Any]  # of such a command
+Command = dict[str, typing.Any]  # for the log of the configuration part
+Result = dict[str, typing.Any]  # result of such a command
 Respond = collections.abc.Callable[[StartResponse, Command, Result], list[bytes]]
 BuildDocument = collections.abc.Callable[[document_change.Document | None], document_change.Document]
 INVALID_JSON_ERRORS = (ValueError, RecursionError)
@@ -45,7 +45,7 @@
 
     @property
     def member(self) -> typing.Any:
-        """The member of the configuration's part; another one after its disk failed."""
+        """The member of the configuration part, which is replaced after a disk failure."""
         return self.keeper.members[0]
 
     def __call__(self, environ, start_response):
@@ -78,7 +78,7 @@
         return front.respond(start_response, 200, self.keeper.totals.text(self.keeper.environment.figures()).encode())
 
     def redirect_to_leader(self, environ, start_response):
-        """307 to a leader heard of lately, or 503 while there is none; None if this is the leader."""
+        """Respond 307 to the leader heard from recently, or 503 if there is none; None if this is the leader."""
         if self.member.is_leader:
             return None
         leader = self.member.members.get(leader_hint.recent_leader(self.member))
@@ -141,7 +141,7 @@
         return self.submit(environ, start_response, command, respond_to_order)
 
     def patch_configuration(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
-        """Take a change of named items; the newest document with the change in it is agreed on whole."""
+        """Apply a change of named items to the newest document; the resulting whole document is replicated."""
         try:
             body = json.loads(front.body_of(environ))
         except INVALID_JSON_ERRORS as error:
@@ -167,9 +167,9 @@
         respond: Respond,
         build_document: BuildDocument | None = None,
     ) -> list[bytes]:
-        """Carry out an operator's order if this is the leader.
+        """Run an operator's order if this is the leader.
 
-        build_document: makes the order's document from the newest one, for orders that do not carry one.
+        build_document: derives the document from the newest one, for orders that do not carry it whole.
         """
         redirect = self.redirect_to_leader(environ, start_response)
         if redirect:
@@ -198,7 +198,7 @@
 
 
 def history_row(sequence: int, row: dict[str, typing.Any]) -> dict[str, typing.Any]:
-    """A document of the history as operators are shown it: without the text that may hold keys."""
+    """A row of the history, without the operator's original text, which may contain keys."""
     document = document_delivery.deliverable_document(row["doc"])
     return {"sequence": sequence, "by": row["by"], "id": row["id"], "document": document}
 
@@ -208,14 +208,14 @@
 
 
 def respond_to_order(start_response: StartResponse, command: Command, result: Result) -> list[bytes]:
-    """The answer to an order that was applied, or that the record knows."""
+    """Respond to an order that was applied, or whose result is already known."""
     if "conflict" in result:
         return front.fault(start_response, 409, f"base {command['base']} is not the latest", current=result["conflict"])
     return front.respond(start_response, 200, {"sequence": result["sequence"], "id": command["id"]})
 
 
 def validated_document(document: document_change.Document) -> document_change.Document:
-    """A document made by a change, with its defaults filled in; raises ChangeError if it is not valid whole."""
+    """The document that a change results in, with defaults; raises ChangeError if it is not valid."""
     errors = configuration.validation_errors(document)
     if errors:
         raise document_change.ChangeError([f"document.{error}" for error in errors])
@@ -227,7 +227,7 @@
 
 
 def stage_command(body: dict[str, typing.Any]) -> Command:
-    """The command that an operator's order stands for, but for its document."""
+    """The command for an operator's order, without its document."""
     return {
         "op": "stage",
         "base": body["base"],
@@ -237,7 +237,7 @@
 
 
 def request_errors(body: typing.Any, fields: set[str]) -> list[str]:
-    """What is wrong with an order's form. fields: those that it may have besides base, by and id."""
+    """Errors in the structure of an order. fields: those allowed besides base, by and id."""
     if not isinstance(body, dict):
         return [f"document: expected an object with base and {' and '.join(sorted(fields))}"]
     errors = []
