--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -6,11 +6,11 @@
 import mothshed.constants as constants
 import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.limit_bounds as limit_bounds
 import mothshed.control_plane.list_task as list_task
 import mothshed.control_plane.member as member_module
+import mothshed.control_plane.operator_api as operator_api
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.permit_duty as permit_duty
 import mothshed.control_plane.reconfiguration as reconfiguration
@@ -142,7 +142,7 @@
             member.start()
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
-    def front(self, handler_class=keeper_front.KeeperFront):
+    def front(self, handler_class=operator_api.OperatorApi):
         return front.Server(self.settings["http"], handler_class(self), constants.OPERATOR_SERVER_THREADS)
 
     def call_in_mailbox(self, member, callback):
