--- a/mothshed/control_plane/decode_capacity.py
+++ b/mothshed/control_plane/decode_capacity.py
@@ -24,10 +24,10 @@
     running_squared: float = 0.0
     running_gap: float = 0.0
 
-    def fade(self, keep: float) -> None:
+    def scale(self, factor: float) -> None:
         """Count all samples so far by this share only."""
         for field in dataclasses.fields(self):
-            setattr(self, field.name, getattr(self, field.name) * keep)
+            setattr(self, field.name, getattr(self, field.name) * factor)
 
     def add(self, running: float, gap_s: float) -> None:
         """Count one sample."""
@@ -50,7 +50,7 @@
         """Take samples of one moment, one for each writer: requests running, and mean seconds between events."""
         now = self.now()
         if self.observed_at is not None:
-            self.moments.fade(0.5 ** ((now - self.observed_at) / constants.CAPACITY_HALF_LIFE_S))
+            self.moments.scale(0.5 ** ((now - self.observed_at) / constants.CAPACITY_HALF_LIFE_S))
         self.observed_at = now
         for running, gap_s in samples:
             if gap_s > 0:
@@ -58,30 +58,31 @@
 
     def full_at(self, slots: float) -> float:
         """The requests running at which a writer with so many slots counts as full."""
-        most = float(slots)
+        all_slots = float(slots)
         assumed = (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / (
             constants.DECODE_FULL_SLOT_RATIO * slots
         )  # growth per request, of the idle gap
         if self.moments.weight <= 0:
             return (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / assumed
-        start, growth = self.line(assumed)
-        if start <= 0:
+        idle_gap, growth = self.fit_line(assumed)
+        if idle_gap <= 0:
             return (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / assumed
-        if growth * most <= (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * start:
-            return most
+        if growth * all_slots <= (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * idle_gap:
+            return all_slots
         return max(
-            constants.MIN_DECODE_FULL_SLOT_RATIO * most, (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * start / growth
+            constants.MIN_DECODE_FULL_SLOT_RATIO * all_slots,
+            (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) * idle_gap / growth,
         )
 
-    def line(self, assumed: float) -> tuple[float, float]:
+    def fit_line(self, assumed: float) -> tuple[float, float]:
         """(seconds between events of an idle writer, their growth per request).
 
         assumed: that growth as a share of the former, which counts as much as CAPACITY_PRIOR_SPREAD of observed spread.
         """
         sums = self.moments
         running, gap = sums.running / sums.weight, sums.gap / sums.weight
-        spread = max(0.0, sums.running_squared - sums.running * running)
-        together = sums.running_gap - sums.running * gap
+        variance = max(0.0, sums.running_squared - sums.running * running)
+        covariance = sums.running_gap - sums.running * gap
         prior = assumed * gap / (1 + assumed * running)
-        growth = (together + constants.CAPACITY_PRIOR_SPREAD * prior) / (spread + constants.CAPACITY_PRIOR_SPREAD)
+        growth = (covariance + constants.CAPACITY_PRIOR_SPREAD * prior) / (variance + constants.CAPACITY_PRIOR_SPREAD)
         return gap - growth * running, growth
--- a/mothshed/control_plane/limit_bounds.py
+++ b/mothshed/control_plane/limit_bounds.py
@@ -11,9 +11,9 @@
     """In any window of window_s, (rate x window_s + burst) x (1 + excess) + slack requests of a tenant may run.
 
     >>> bounds = LimitBounds(window_s=5.0, excess=0.1, slack=20.0)
-    >>> bounds.allowance(rate=5.0, burst=11.0), bounds.capacity(5.0, 11.0), bounds.first_level(5.0, 11.0)
+    >>> bounds.allowance(rate=5.0, burst=11.0), bounds.capacity(5.0, 11.0), bounds.initial_level(5.0, 11.0)
     (23.6, 16.9, 11.8)
-    >>> LimitBounds().capacity(5.0, 11.0), LimitBounds().first_level(5.0, 11.0)
+    >>> LimitBounds().capacity(5.0, 11.0), LimitBounds().initial_level(5.0, 11.0)
     (11.0, 0.0)
     """
 
@@ -29,12 +29,12 @@
         """Tokens that a tenant's bucket holds; a bucket without room for one would let nothing through."""
         return max(1.0, burst + self.allowance(rate, burst) / 4)
 
-    def first_level(self, rate: float, burst: float) -> float:
+    def initial_level(self, rate: float, burst: float) -> float:
         """Tokens of a new leader whose predecessor began longer ago than window_s; any other begins with none."""
         return self.allowance(rate, burst) / 2
 
 
 def from_settings(settings: Settings) -> LimitBounds:
     """The bounds that a process's settings name."""
-    named = {"window_s": "limit_window_s", "excess": "limit_excess", "slack": "limit_slack"}
-    return LimitBounds(**{own: float(settings[word]) for own, word in named.items() if word in settings})
+    keys = {"window_s": "limit_window_s", "excess": "limit_excess", "slack": "limit_slack"}
+    return LimitBounds(**{field: float(settings[key]) for field, key in keys.items() if key in settings})
--- a/mothshed/control_plane/list_task.py
+++ b/mothshed/control_plane/list_task.py
@@ -1,7 +1,7 @@
 """The platform's list is read by one process and told to all.
 
 The leader of the list's part reads it every beat and pushes what changed, numbered,
-down the held connections; whoever asks is told the changes since the number it has,
+down the kept connections; whoever asks is told the changes since the number it has,
 or the whole. The age of the reading goes along, so that a leader cut off from the
 platform keeps nobody from reading for itself.
 """
@@ -16,78 +16,80 @@
 class ListTask:
     def __init__(self, member, listed):
         self.member, self.environment, self.listed = member, member.environment, listed
-        self.on = False
-        self.rows, self.number, self.at = {}, 0, -1e9
+        self.active = False
+        self.rows, self.number, self.read_at = {}, 0, -1e9
         self.changes = collections.deque(maxlen=constants.MAX_LIST_CHANGES)  # (number, rows, gone)
-        self.holders = {}  # address -> [number it has, when it asked]
+        self.subscribers = {}  # address -> [number it has, when it asked]
         member.leader_tasks.append(self)
-        self.environment.subscribe("list_ask", self.on_ask, member.part)
+        self.environment.subscribe("list_ask", self.on_list_ask, member.part)
 
     def start(self):
-        self.on = True
-        self.rows, self.at, self.holders = {}, -1e9, {}
-        self.number = self.first = self.member.log.term * 1000000
+        self.active = True
+        self.rows, self.read_at, self.subscribers = {}, -1e9, {}
+        self.number = self.first_number = self.member.log.term * 1000000
         self.changes.clear()
         self.environment.spawn(lambda number=self.number: self.read(number))
 
     def stop(self):
-        self.on = False
+        self.active = False
 
-    def read(self, first):
+    def read(self, first_number):
         """Reads the list every beat for as long as this ownership lasts."""
-        while self.on and self.first == first:
-            began = self.environment.now()
+        while self.active and self.first_number == first_number:
+            started_at = self.environment.now()
             try:
                 rows = self.listed.speech.rows(self.environment, self.listed.list_url)
-                self.environment.post(lambda rows=rows, at=began: self.took(rows, at))
+                self.environment.post(lambda rows=rows, at=started_at: self.store_list(rows, at))
             except web.WebFault as e:
                 self.listed.journal.add("list", outcome="failed", reason=str(e))
             self.environment.sleep(constants.LIST_POLL_INTERVAL_S)
 
-    def took(self, rows, at):
-        if not self.on:
+    def store_list(self, rows, at):
+        if not self.active:
             return
         new = {n: row for n, row in rows.items() if self.rows.get(n) != row}
         gone = [n for n in self.rows if n not in rows]
-        self.rows, self.at = rows, at
+        self.rows, self.read_at = rows, at
         if new or gone:
             self.number += 1
             self.changes.append((self.number, new, gone))
-            old = self.environment.now() - constants.LIST_SUBSCRIPTION_TTL_S
-            self.holders = {a: h for a, h in self.holders.items() if h[1] > old}
-            for address in self.holders:
-                self.send(address)
+            oldest = self.environment.now() - constants.LIST_SUBSCRIPTION_TTL_S
+            self.subscribers = {a: h for a, h in self.subscribers.items() if h[1] > oldest}
+            for address in self.subscribers:
+                self.send_changes(address)
 
-    def send(self, address):
-        held = self.holders[address][0]
-        since = [c for c in self.changes if c[0] > held]
-        whole = held <= self.first or held > self.number or len(since) < self.number - held
+    def send_changes(self, address):
+        known_number = self.subscribers[address][0]
+        since = [c for c in self.changes if c[0] > known_number]
+        whole = (
+            known_number <= self.first_number or known_number > self.number or len(since) < self.number - known_number
+        )
         rows, gone = (self.rows, []) if whole else ({}, [])
         if not whole:
-            for number, new, lost in since:
-                for name in lost:
+            for number, new, removed in since:
+                for name in removed:
                     rows.pop(name, None)
                 rows.update(new)
-                gone = [n for n in gone if n not in new] + lost
+                gone = [n for n in gone if n not in new] + removed
         self.environment.send(
             address,
             "list_news",
             part=self.member.part,
             number=self.number,
-            held=held,
-            age=self.environment.now() - self.at,
+            held=known_number,
+            age=self.environment.now() - self.read_at,
             whole=whole,
             rows=rows,
             gone=gone,
         )
-        self.holders[address][0] = self.number
+        self.subscribers[address][0] = self.number
 
-    def on_ask(self, sender, body):
+    def on_list_ask(self, sender, body):
         member = self.member
-        if not (self.on and member.is_leader):
+        if not (self.active and member.is_leader):
             leader = leader_hint.leader_address(member)
             self.environment.send(sender, "look_elsewhere", part=member.part, mark=0, leader=leader)
             return
-        self.holders[sender] = [body["number"], self.environment.now()]
+        self.subscribers[sender] = [body["number"], self.environment.now()]
         if self.rows:
-            self.send(sender)
+            self.send_changes(sender)
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -169,7 +169,7 @@
     def send_order(self, name, url, role, fencing_token):
         accepted = False
         if self.load_task:  # routers hear of it before the replica does
-            self.load_task.shifting[name] = self.environment.now() + constants.ROLE_CHANGE_EXCLUSION_S
+            self.load_task.changing_until[name] = self.environment.now() + constants.ROLE_CHANGE_EXCLUSION_S
             self.environment.sleep(constants.ORDER_NOTICE_S)
 
         def ready() -> bool:
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -27,7 +27,7 @@
         self.member, self.lease, self.journal, self.bounds = member, lease, journal, bounds
         self.environment = member.environment
         # when the entries with which the last two leaders began were applied here, or later
-        self.began: collections.deque[float] = collections.deque([self.environment.now()] * 2, maxlen=2)
+        self.leader_entries_at: collections.deque[float] = collections.deque([self.environment.now()] * 2, maxlen=2)
         self.buckets: dict[str, token_bucket.TokenBucket] = {}
         self.refused: collections.Counter[str] = collections.Counter()  # tenant -> permits asked for in vain
         self.started = self.environment.now()
@@ -41,7 +41,7 @@
 
     def leader_entry_applied(self) -> None:
         """The entry with which a leader begins was applied."""
-        self.began.append(self.environment.now())
+        self.leader_entries_at.append(self.environment.now())
 
     def start(self) -> None:
         """This member leads, and its own first entry is applied."""
@@ -49,9 +49,9 @@
         self.started = self.environment.now()
         self.buckets = {}
         self.refused.clear()
-        self.with_credit = self.started - self.began[0] > self.bounds.window_s
-        for address, (asked_at, mark) in self.redirected.items():
-            if self.started - asked_at < constants.PERMIT_LEADER_NOTICE_TTL_S:
+        self.with_credit = self.started - self.leader_entries_at[0] > self.bounds.window_s
+        for address, (requested_at, mark) in self.redirected.items():
+            if self.started - requested_at < constants.PERMIT_LEADER_NOTICE_TTL_S:
                 self.redirect(address, mark, self.environment.address)
         self.redirected = {}
 
@@ -63,7 +63,7 @@
         """Say who leads, "" if that is not known."""
         self.environment.send(address, "look_elsewhere", part=self.member.part, mark=mark, leader=leader)
 
-    def note_redirected(self, address: str, mark: int, now: float) -> None:
+    def remember_redirected(self, address: str, mark: int, now: float) -> None:
         """Remember who is to be told of a new leader, in the order of asking, for as long as that is of use."""
         self.redirected.pop(address, None)
         self.redirected[address] = (now, mark)
@@ -76,7 +76,7 @@
         if not (self.leading and self.member.has_quorum()):
             leader = leader_hint.leader_address(self.member)
             if not leader:
-                self.note_redirected(sender, body["mark"], now)
+                self.remember_redirected(sender, body["mark"], now)
             self.redirect(sender, body["mark"], "" if leader == self.environment.address else leader)
             return
         sequence, document = self.lease.current()
@@ -124,7 +124,7 @@
         capacity = self.bounds.capacity(rate, burst)
         found = self.buckets.get(tenant)
         if found is None:
-            level = self.bounds.first_level(rate, burst) if self.with_credit else 0.0
+            level = self.bounds.initial_level(rate, burst) if self.with_credit else 0.0
             found = self.buckets[tenant] = token_bucket.TokenBucket(rate, capacity, level, self.started)
         if (found.rate, found.capacity) != (rate, capacity):
             found.change(rate, capacity, now)
--- a/mothshed/control_plane/token_bucket.py
+++ b/mothshed/control_plane/token_bucket.py
@@ -29,10 +29,10 @@
         self.rate, self.capacity = rate, capacity
         self.level = min(self.level, capacity)
 
-    def take(self, most: int, now: float) -> int:
-        """Take as many whole tokens as there are, `most` at most."""
+    def take(self, max_tokens: int, now: float) -> int:
+        """Take as many whole tokens as there are, `max_tokens` at most."""
         self.fill(now)
-        taken = min(most, int(self.level + constants.CLOCK_ROUNDING_ERROR_S))
+        taken = min(max_tokens, int(self.level + constants.CLOCK_ROUNDING_ERROR_S))
         self.level = max(0.0, self.level - taken)
         return taken
 
--- a/mothshed/data_plane/load_reporter.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -15,12 +15,12 @@
 class LoadReporter:
     def __init__(self, environment, replicas, placing):
         self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
-        self.busy_at, self.mark = -1e9, 0
+        self.last_active_at, self.mark = -1e9, 0
         for part in range(1, constants.PART_COUNT):
             environment.subscribe("usages", self.on_usages, part)
         environment.post(self.tick)
 
-    def rows(self):
+    def loads_by_part(self):
         """part -> {replica: ReplicaLoad}, of replicas of which there is anything to tell."""
         found, now = {}, self.environment.now()
         with self.replicas.lock:
@@ -31,29 +31,29 @@
                     if name in self.replicas.consecutive_failures
                     else 0.0
                 )
-                ended = self.placing.outcomes.of(name)
-                own = replica_load.ReplicaLoad(
+                outcomes = self.placing.outcomes.of(name)
+                load = replica_load.ReplicaLoad(
                     self.replicas.own_requests.get(name, 0),
                     out,
-                    ended.answered,
-                    ended.failed,
+                    outcomes.answered,
+                    outcomes.failed,
                     list(self.placing.reading[name]),
                     *self.placing.event_times.of(name),
                 )
-                if own.any():
-                    part[name] = own
+                if load.has_values():
+                    part[name] = load
         return found
 
     def tick(self):
-        now, rows = self.environment.now(), self.rows()
-        if any(load.requests for own in rows.values() for load in own.values()):
-            self.busy_at = now
-        for part, own in rows.items():
+        now, rows = self.environment.now(), self.loads_by_part()
+        if any(load.requests for loads in rows.values() for load in loads.values()):
+            self.last_active_at = now
+        for part, loads in rows.items():
             self.mark += 1
             self.environment.send(
-                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
+                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(loads)
             )
-        busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
+        busy = now - self.last_active_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
         self.environment.call_later(
             constants.LOAD_REPORT_INTERVAL_S if busy else constants.IDLE_LOAD_REPORT_INTERVAL_S, self.tick
         )
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -23,28 +23,28 @@
     """A request that waits for a permit."""
 
     event: typing.Any
-    first_mark: int | None = None  # of the first ask that counts it
+    first_request: int | None = None  # of the first ask that counts it
     granted: bool = False
     retry_s: float | None = None  # refused: seconds until the tenant's next token
 
 
 @dataclasses.dataclass
-class PartAsks:
+class PartRequests:
     """What waits for permits of one part."""
 
     waiting: dict[str, collections.deque[Waiter]] = dataclasses.field(default_factory=dict)  # by tenant
-    asked_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> when
-    unanswered: int | None = None  # mark of the ask under way
+    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> when
+    pending_request: int | None = None  # mark of the ask under way
     answer_s: float = 0.0  # how long answers take: the longest lately
 
     def note_answer(self, took_s: float) -> None:
         """An answer took this long."""
         self.answer_s = max(took_s, self.answer_s * constants.PERMIT_LATENCY_DECAY_RATIO)
 
-    def again_s(self) -> float:
+    def retry_delay_s(self) -> float:
         """After how long an ask is made anew. Sooner than answers come, requests would be counted twice."""
-        usual_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
-        return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, usual_s))
+        expected_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
+        return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, expected_s))
 
 
 @dataclasses.dataclass(frozen=True)
@@ -61,7 +61,7 @@
     def __init__(self, environment: typing.Any, leaders: leaders_module.Leaders, journal: typing.Any) -> None:
         self.environment, self.leaders, self.journal = environment, leaders, journal
         self.lock = threading.RLock()
-        self.parts = {part: PartAsks() for part in range(1, constants.PART_COUNT)}
+        self.parts = {part: PartRequests() for part in range(1, constants.PART_COUNT)}
         self.next_tokens: dict[str, NextToken] = {}
         self.sequence = 0
         self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # no life before used the same
@@ -82,24 +82,24 @@
         self.refuse_before_next_token(tenant, sequence)
         waiter = Waiter(self.environment.new_event())
         try:
-            self.enter(tenant, sequence, waiter)
+            self.enqueue(tenant, sequence, waiter)
             self.wait(waiter, until, caller)
         finally:
-            self.forget(tenant, waiter)
+            self.dequeue(tenant, waiter)
         if waiter.granted:
             return
         if waiter.retry_s is not None:
-            raise over_limit(waiter.retry_s)
+            raise over_limit_rejection(waiter.retry_s)
         raise verdict.Rejection(503, "no permit", constants.PERMIT_RETRY_AFTER_S, "no_permit")
 
-    def enter(self, tenant: str, sequence: int, waiter: Waiter) -> None:
+    def enqueue(self, tenant: str, sequence: int, waiter: Waiter) -> None:
         """Let one more request of a tenant wait for a permit, and ask for it unless an ask is under way."""
         part = parts.part_of(tenant)
         with self.lock:
             self.sequence = max(self.sequence, sequence)
             self.parts[part].waiting.setdefault(tenant, collections.deque()).append(waiter)
-            if self.parts[part].unanswered is None:
-                self.ask(part)
+            if self.parts[part].pending_request is None:
+                self.send_request(part)
 
     def refuse_before_next_token(self, tenant: str, sequence: int) -> None:
         """Raise Rejection (429) if the tenant was refused by this document and its next token is still to come."""
@@ -108,7 +108,7 @@
             return
         wait_s = known.at - self.environment.now()
         if known.sequence == sequence and wait_s > 0:
-            raise over_limit(wait_s)
+            raise over_limit_rejection(wait_s)
         self.next_tokens.pop(tenant, None)
 
     def wait(self, waiter: Waiter, until: float, caller: typing.Any) -> None:
@@ -121,7 +121,7 @@
                 raise verdict.CallerDisconnected()
             waiter.event.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
-    def forget(self, tenant: str, waiter: Waiter) -> None:
+    def dequeue(self, tenant: str, waiter: Waiter) -> None:
         """The request waits no more."""
         with self.lock:
             waiting = self.parts[parts.part_of(tenant)].waiting
@@ -131,67 +131,69 @@
             if rows is not None and not rows:
                 waiting.pop(tenant, None)
 
-    def ask(self, part: int) -> None:
+    def send_request(self, part: int) -> None:
         """Ask for all that wait for permits of a part; under the lock."""
-        asks, now = self.parts[part], self.environment.now()
-        if not asks.waiting:
-            asks.unanswered = None
+        requests, now = self.parts[part], self.environment.now()
+        if not requests.waiting:
+            requests.pending_request = None
             return
         self.mark += 1
-        asks.unanswered = self.mark
-        asks.asked_at[self.mark] = now
-        if len(asks.asked_at) > constants.MAX_PENDING_PERMIT_REQUESTS:
-            del asks.asked_at[min(asks.asked_at)]
-        for rows in asks.waiting.values():
+        requests.pending_request = self.mark
+        requests.sent_at[self.mark] = now
+        if len(requests.sent_at) > constants.MAX_PENDING_PERMIT_REQUESTS:
+            del requests.sent_at[min(requests.sent_at)]
+        for rows in requests.waiting.values():
             for waiter in rows:
-                waiter.first_mark = waiter.first_mark or self.mark
-        counts = {tenant: len(rows) for tenant, rows in asks.waiting.items()}
-        self.environment.call_later(asks.again_s(), lambda mark=self.mark: self.ask_again(part, mark))
-        goal = self.leaders.address_for(part)
-        self.environment.send(goal, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts)
-
-    def ask_again(self, part: int, mark: int) -> None:
+                waiter.first_request = waiter.first_request or self.mark
+        counts = {tenant: len(rows) for tenant, rows in requests.waiting.items()}
+        self.environment.call_later(requests.retry_delay_s(), lambda mark=self.mark: self.retry_request(part, mark))
+        destination = self.leaders.address_for(part)
+        self.environment.send(
+            destination, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts
+        )
+
+    def retry_request(self, part: int, mark: int) -> None:
         """Nobody has answered an ask: it is made anew, perhaps elsewhere."""
         with self.lock:
-            if self.parts[part].unanswered == mark:
+            if self.parts[part].pending_request == mark:
                 self.journal.add("permit", outcome="unanswered")
-                self.ask(part)
+                self.send_request(part)
 
     def leader_changed(self, part: int) -> None:
         """Somebody was named as a part's leader."""
         with self.lock:
-            if part in self.parts and self.parts[part].unanswered is not None:
-                self.ask(part)
+            if part in self.parts and self.parts[part].pending_request is not None:
+                self.send_request(part)
 
     def on_permits(self, sender: str, body: Body) -> None:
         """The leader's answer."""
         part, mark = body["part"], body["mark"]
         self.leaders.note_response(part, sender)
         with self.lock:
-            asks = self.parts[part]
-            asked_at = asks.asked_at.pop(mark, None)
-            if asked_at is None:
+            requests = self.parts[part]
+            sent_at = requests.sent_at.pop(mark, None)
+            if sent_at is None:
                 return
-            asks.note_answer(self.environment.now() - asked_at)
+            requests.note_answer(self.environment.now() - sent_at)
             for tenant, (count, wait_s) in body["grants"].items():
-                self.hand_out(asks, tenant, mark, count, wait_s)
+                self.assign_grants(requests, tenant, mark, count, wait_s)
                 if wait_s > 0:
-                    self.next_tokens[tenant] = NextToken(body["sequence"], asked_at + wait_s)
-            if asks.unanswered == mark:
-                self.ask_or_pause(part)
+                    self.next_tokens[tenant] = NextToken(body["sequence"], sent_at + wait_s)
+            if requests.pending_request == mark:
+                self.request_or_pause(part)
 
-    def ask_or_pause(self, part: int) -> None:
+    def request_or_pause(self, part: int) -> None:
         """Ask for what came meanwhile; what the leader could not answer yet waits for the next time. Under the lock."""
-        asks = self.parts[part]
-        if any(waiter.first_mark is None for rows in asks.waiting.values() for waiter in rows):
-            self.ask(part)
-        elif not asks.waiting:
-            asks.unanswered = None
+        requests = self.parts[part]
+        if any(waiter.first_request is None for rows in requests.waiting.values() for waiter in rows):
+            self.send_request(part)
+        elif not requests.waiting:
+            requests.pending_request = None
 
-    def hand_out(self, asks: PartAsks, tenant: str, mark: int, count: int, wait_s: float) -> None:
+    def assign_grants(self, requests: PartRequests, tenant: str, mark: int, count: int, wait_s: float) -> None:
         """Give grants to those that an ask counted, and refuse the others of them if the bucket is empty."""
-        for waiter in list(asks.waiting.get(tenant, ())):
-            if waiter.first_mark is None or waiter.first_mark > mark:
+        for waiter in list(requests.waiting.get(tenant, ())):
+            if waiter.first_request is None or waiter.first_request > mark:
                 continue
             if count > 0:
                 count -= 1
@@ -200,13 +202,13 @@
                 waiter.retry_s = wait_s
             else:
                 continue
-            asks.waiting[tenant].remove(waiter)
+            requests.waiting[tenant].remove(waiter)
             waiter.event.set()
-        if not asks.waiting.get(tenant, True):
-            del asks.waiting[tenant]
+        if not requests.waiting.get(tenant, True):
+            del requests.waiting[tenant]
 
 
-def over_limit(retry_s: float) -> verdict.Rejection:
+def over_limit_rejection(retry_s: float) -> verdict.Rejection:
     """The refusal of a request beyond its tenant's limit."""
     retry_s = max(constants.MIN_PERMIT_RETRY_AFTER_S, round(retry_s, 3))
     return verdict.Rejection(429, "the tenant's limit is reached", retry_s, "over_limit")
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -56,7 +56,7 @@
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placing)
+            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placing)
         self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
--- a/mothshed/replicas/replica_load.py
+++ b/mothshed/replicas/replica_load.py
@@ -19,7 +19,7 @@
 Wire = list[float]
 
 
-def no_reading() -> list[float]:
+def no_prefill_tokens() -> list[float]:
     """Nothing being read, by rank."""
     return [0] * constants.PREFILL_RANK_COUNT
 
@@ -32,23 +32,23 @@
     out_s: float = 0.0  # s for which it is not to be placed upon
     answered: float = 0.0  # requests it lately answered
     failed: float = 0.0  # requests it lately failed by its own word
-    reading: list[float] = dataclasses.field(default_factory=no_reading)  # prompt tokens being read, by rank
-    events: float = 0  # events of its streams that followed another one lately
+    reading: list[float] = dataclasses.field(default_factory=no_prefill_tokens)  # prompt tokens being read, by rank
+    events: float = 0  # events of its streams that followed another one recently
     events_s: float = 0.0  # s that they came after those
 
     def to_wire(self) -> Wire:
         """The row as it is sent; without the events where there are none."""
-        lately = [round(number, 2) for number in (self.answered, self.failed, self.events, self.events_s)]
-        return [self.requests, round(self.out_s, 2), *self.reading, *(lately if any(lately[2:]) else lately[:2])]
+        recent = [round(number, 2) for number in (self.answered, self.failed, self.events, self.events_s)]
+        return [self.requests, round(self.out_s, 2), *self.reading, *(recent if any(recent[2:]) else recent[:2])]
 
     @classmethod
     def from_wire(cls, row: Wire) -> "ReplicaLoad":
         """The row as it was sent; raises ValueError if it is shorter than any release sends."""
         requests, out_s, *rest = row
-        reading, lately = rest[: constants.PREFILL_RANK_COUNT], rest[constants.PREFILL_RANK_COUNT :]
+        reading, recent = rest[: constants.PREFILL_RANK_COUNT], rest[constants.PREFILL_RANK_COUNT :]
         if len(reading) < constants.PREFILL_RANK_COUNT:
             raise ValueError(f"a load of {len(row)} numbers")
-        answered, failed, events, events_s = (*lately, 0.0, 0.0, 0.0, 0.0)[:4]
+        answered, failed, events, events_s = (*recent, 0.0, 0.0, 0.0, 0.0)[:4]
         return cls(requests, out_s, answered, failed, reading, events, events_s)
 
     def add(self, other: "ReplicaLoad", age: float = 0.0) -> None:
@@ -59,13 +59,13 @@
         self.failed += other.failed
         self.events += other.events
         self.events_s += other.events_s
-        self.reading = [own + more for own, more in zip(self.reading, other.reading, strict=True)]
+        self.reading = [own + added for own, added in zip(self.reading, other.reading, strict=True)]
 
-    def placing_wire(self) -> Wire:
+    def to_router_wire(self) -> Wire:
         """The row as routers are told it: without what only the leader of the replica's part goes by."""
         return [self.requests, round(self.out_s, 2), *self.reading, round(self.answered, 2), round(self.failed, 2)]
 
-    def any(self) -> bool:
+    def has_values(self) -> bool:
         """Whether there is anything to tell."""
         return any(self.to_wire())
 
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -114,7 +114,7 @@
     # --- what may happen ---
     def request(self):
         waiter = permits.Waiter(self.router.environment.new_event())
-        self.router.enter(TENANT, 1, waiter)
+        self.router.enqueue(TENANT, 1, waiter)
         self.requests.append((self.pool.steps, waiter))
 
     def new_leader(self):
--- a/tests/test_decode_capacity.py
+++ b/tests/test_decode_capacity.py
@@ -92,7 +92,7 @@
     assert len(load.to_wire()) == 4 + constants.PREFILL_RANK_COUNT
     more = replica_load.ReplicaLoad(requests=2, answered=3.0, failed=1.0, reading=[0, 0, 5], events=6, events_s=0.3)
     assert replica_load.ReplicaLoad.from_wire(more.to_wire()) == more
-    assert replica_load.ReplicaLoad.from_wire(more.placing_wire()) == load
+    assert replica_load.ReplicaLoad.from_wire(more.to_router_wire()) == load
 
 
 def duty_with(loads, services):
@@ -111,7 +111,7 @@
         duty.split_load("a1", "decode", 12)
         pool.time += constants.LOAD_REPORT_INTERVAL_S + 0.01
         for sender, report in list(duty.reports.reports.items()):
-            duty.reports.take(sender, report.loads)
+            duty.reports.record(sender, report.loads)
     assert duty.split_load("a1", "decode", 12)[2] == 12
     assert duty.split_load("b1", "decode", 12)[2] < 6
     assert duty.split_load("a1", "prefill", 12)[2] == constants.PREFILL_FULL_QUEUE_S
@@ -121,7 +121,7 @@
     load = replica_load.ReplicaLoad(requests=2, events=20, events_s=1.0)
     pool, duty = duty_with({"a1": load}, {"a1": "a"})
     duty.on_usage("r:2", {"mark": 2, "rows": {}})
-    assert pool.waiting[-1][3]["rows"] == {"a1": load.placing_wire()}
+    assert pool.waiting[-1][3]["rows"] == {"a1": load.to_router_wire()}
 
 
 def test_too_few_events_tell_nothing():
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -198,7 +198,7 @@
         },
     )
     assert pool.waiting[-1][3]["rows"] == replica_load.to_wire({"d1": usage(2, 0.5, [1, 0, 10])})
-    duty.shifting["d2"] = pool.time + 1.0
+    duty.changing_until["d2"] = pool.time + 1.0
     pool.time += 0.25
     assert duty.sums() == {
         "d1": usage(5, 0.25, [3, 5, 30]),
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -115,7 +115,7 @@
 
 def test_a_request_over_the_limit_shows_its_key_nowhere(site, ring_file, monkeypatch):
     def refuse(*_order):
-        raise permits.over_limit(1.0)
+        raise permits.over_limit_rejection(1.0)
 
     monkeypatch.setattr(site.router.permits, "take", refuse)
     host, replicas = site.service("d", engine=False)
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -41,7 +41,7 @@
 
 def numbers(loads):
     """What of the sums counts: rows in which there is anything."""
-    return {name: pytest.approx(load.to_wire()) for name, load in loads.items() if load.any()}
+    return {name: pytest.approx(load.to_wire()) for name, load in loads.items() if load.has_values()}
 
 
 @STEADY
@@ -51,10 +51,10 @@
     sums = load_sums.LoadSums(lambda: clock[0])
     for span, sender, loads in steps:
         clock[0] += span
-        sums.take(sender, loads)
+        sums.record(sender, loads)
         reports[sender] = (clock[0], loads)
         for but in ("", *ROUTERS):
-            found = {name: load for name, load in sums.without(but).items() if load.any()}
+            found = {name: load for name, load in sums.totals_without(but).items() if load.has_values()}
             expected = numbers(added_up(reports, clock[0], but))
             assert {name: load.to_wire() for name, load in found.items()} == expected
 
@@ -62,10 +62,10 @@
 def test_nothing_is_left_of_routers_that_fell_silent():
     clock = [100.0]
     sums = load_sums.LoadSums(lambda: clock[0])
-    sums.take("r:1", {"a": replica_load.ReplicaLoad(3, 0.5, answered=0.1)})
+    sums.record("r:1", {"a": replica_load.ReplicaLoad(3, 0.5, answered=0.1)})
     clock[0] += constants.LOAD_TTL_S
-    assert sums.without() == {}
-    assert not (sums.reports or sums.totals or sums.out_until or +sums.reporters)
+    assert sums.totals_without() == {}
+    assert not (sums.reports or sums.totals or sums.excluded_until or +sums.reporters)
 
 
 @pytest.mark.parametrize("routers", [50, 400])
@@ -73,9 +73,9 @@
     sums, shifts = load_sums.LoadSums(lambda: 100.0), []
     own = {name: replica_load.ReplicaLoad(1) for name in REPLICAS}
     for number in range(routers):
-        sums.take(f"r:{number}", own)
-    real = load_sums.shift
-    monkeypatch.setattr(load_sums, "shift", lambda *rest: (shifts.append(1), real(*rest)))
-    sums.take("r:0", own)
-    assert sums.without("r:0")["a"].requests == routers - 1
+        sums.record(f"r:{number}", own)
+    real = load_sums.add_scaled
+    monkeypatch.setattr(load_sums, "add_scaled", lambda *rest: (shifts.append(1), real(*rest)))
+    sums.record("r:0", own)
+    assert sums.totals_without("r:0")["a"].requests == routers - 1
     assert len(shifts) == 3 * len(REPLICAS)  # the last report out, this one in, and off the reply
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -126,7 +126,7 @@
     duty = group.leader_tasks["A"]
     duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
-    duty.load_task = types.SimpleNamespace(shifting={})
+    duty.load_task = types.SimpleNamespace(changing_until={})
     duty.order_role = lambda environment, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
     duty.start_order("r-1", "decode")
     assert written == ["decode"]
--- a/tests/test_permit_faults.py
+++ b/tests/test_permit_faults.py
@@ -29,7 +29,7 @@
 
     def enter(self):
         waiter = permits.Waiter(threading.Event())
-        self.permits.enter("a", 2, waiter)
+        self.permits.enqueue("a", 2, waiter)
         return waiter
 
 
--- a/tests/test_permit_orders.py
+++ b/tests/test_permit_orders.py
@@ -39,19 +39,19 @@
 
 
 def test_the_orders_find_a_permit_for_a_request_that_came_after_its_ask(monkeypatch):
-    hand_out = permits.Permits.hand_out
+    assign_grants = permits.Permits.assign_grants
 
-    def to_whoever_waits(self, asks, tenant, mark, count, wait_s):
-        for waiter in asks.waiting.get(tenant, ()):
-            waiter.first_mark = mark
-        hand_out(self, asks, tenant, mark, count, wait_s)
+    def to_whoever_waits(self, requests, tenant, mark, count, wait_s):
+        for waiter in requests.waiting.get(tenant, ()):
+            waiter.first_request = mark
+        assign_grants(self, requests, tenant, mark, count, wait_s)
 
-    monkeypatch.setattr(permits.Permits, "hand_out", to_whoever_waits)
+    monkeypatch.setattr(permits.Permits, "assign_grants", to_whoever_waits)
     with pytest.raises(AssertionError, match="before its request came"):
         play(["request"] * 3)
 
 
 def test_the_orders_find_a_request_that_nobody_asks_for_again(monkeypatch):
-    monkeypatch.setattr(permits.Permits, "ask_again", lambda self, part, mark: None)
+    monkeypatch.setattr(permits.Permits, "retry_request", lambda self, part, mark: None)
     with pytest.raises(AssertionError, match="waits for ever"):
         play(["request", "request"], lost=(0,))
--- a/tests/test_permit_walks.py
+++ b/tests/test_permit_walks.py
@@ -42,7 +42,7 @@
 
 
 def test_the_walks_find_a_leader_that_begins_with_a_full_bucket(monkeypatch):
-    monkeypatch.setattr(limit_bounds.LimitBounds, "first_level", limit_bounds.LimitBounds.capacity)
+    monkeypatch.setattr(limit_bounds.LimitBounds, "initial_level", limit_bounds.LimitBounds.capacity)
     monkeypatch.setattr(permit_group.NotingDuty, "start", start_with_credit)
     broken("granted in a window")
 
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -85,7 +85,7 @@
         for at in range(routers)
     }
     for sender, body in bodies.items():
-        duty.reports.take(sender, replica_load.from_wire(body["rows"]))
+        duty.reports.record(sender, replica_load.from_wire(body["rows"]))
     sender, body = next(iter(bodies.items()))
     cost = spent(lambda: duty.on_usage(sender, body))
     up = len(records.pack("usage", part=1, mark=1, rows=body["rows"]))
