--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -82,10 +82,10 @@
         found = self.replicas.usable(selector)
         part = {n: parts.part_of(self.replicas.rows[n]["service"]) for n in found if n in self.replicas.rows}
         ours = {n: found[n] for n in part if part[n] == self.member.part}
-        rest = {n: (found[n]["role"], self.load_of(n, found[n])) for n in part if n not in ours}
+        others = {n: (found[n]["role"], self.load_of(n, found[n])) for n in part if n not in ours}
         count = collections.Counter(part.values())
-        ahead = sorted(count, key=lambda p: (-count[p], p))
-        return ours, rest, ahead.index(self.member.part) if ours else 0
+        ranking = sorted(count, key=lambda p: (-count[p], p))
+        return ours, others, ranking.index(self.member.part) if ours else 0
 
     def service_of(self, name: str) -> str:
         """The service of a replica; empty once it is listed no more."""
@@ -101,14 +101,14 @@
         for name, pool in sorted(document["pools"].items()):
             if not pools.has_split(pool):
                 continue
-            found, rest, rank = self.pool_replicas(pool["selector"])
+            found, others, rank = self.pool_replicas(pool["selector"])
             found = {n: c for n, c in found.items() if n not in target_roles}
             split = self.split.setdefault(name, service_part.Split(self.environment.now))
             loads = {n: self.load_of(n, c) for n, c in found.items()}
             roles = self.machine.roles
             if self.keeps_reported_roles:  # a replica keeps the part that it came with
                 roles = {**{n: c["role"] for n, c in found.items() if c["role"] != "none"}, **roles}
-            target_roles.update(split.plan(pool, loads, roles, rest, rank))
+            target_roles.update(split.plan(pool, loads, roles, others, rank))
         gone = [n for n in self.machine.roles if n not in self.replicas.rows]
         new = {n: r for n, r in target_roles.items() if self.machine.roles.get(n) != r}
         if new or gone:
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -87,8 +87,8 @@
         while True:
             now = self.environment.now()
             for name, row in list(self.rows.items()):
-                seen = self.conditions.get(name)
-                if name not in self.probing and (not seen or now - seen["at"] > constants.PROBE_INTERVAL_S * 0.8):
+                known = self.conditions.get(name)
+                if name not in self.probing and (not known or now - known["at"] > constants.PROBE_INTERVAL_S * 0.8):
                     self.probing.add(name)
                     self.environment.spawn(lambda name=name, url=row["url"]: self.probe(name, url))
             self.environment.sleep(constants.PROBE_INTERVAL_S / 2)
@@ -106,11 +106,11 @@
         finally:
             self.probing.discard(name)
 
-    def update_condition(self, name, at, own, said):
+    def update_condition(self, name, at, own, condition):
         with self.lock:
-            seen = self.conditions.get(name)
-            if name in self.rows and (not seen or seen["at"] < at):
-                self.conditions[name] = {"at": at, "own": own, "c": said}
+            known = self.conditions.get(name)
+            if name in self.rows and (not known or known["at"] < at):
+                self.conditions[name] = {"at": at, "own": own, "c": condition}
 
     def leaving_hints(self):
         now = self.environment.now()
@@ -127,7 +127,7 @@
 
     def hints(self):
         """Who is leaving first, then conditions in any order, since a record may hold only some."""
-        now, gone = self.environment.now(), self.leaving_hints()
+        now, leaving = self.environment.now(), self.leaving_hints()
         with self.lock:
             rows = [
                 {"replica": n, "age": round(now - s["at"], 3), "c": s["c"]}
@@ -135,7 +135,7 @@
                 if now - s["at"] < constants.HINT_TTL_S
             ]
         self.environment.random.shuffle(rows)
-        return gone + rows
+        return leaving + rows
 
     def apply_hint(self, hint):
         at = self.environment.now() - max(0.0, hint["age"])
@@ -157,24 +157,24 @@
         with self.lock:
             leaving = self.leaving()
             for name, row in self.rows.items():
-                seen = self.conditions.get(name)
+                known = self.conditions.get(name)
                 if (
                     name in leaving
-                    or not seen
-                    or now - seen["at"] > constants.REPLICA_STATUS_TTL_S
+                    or not known
+                    or now - known["at"] > constants.REPLICA_STATUS_TTL_S
                     or self.suspected_until.get(name, 0) > now
                     or role
-                    and seen["c"]["role"] != role
+                    and known["c"]["role"] != role
                 ):
                     continue
                 if selects(selector, row["labels"]):
-                    found[name] = seen["c"]
+                    found[name] = known["c"]
             return found
 
     def estimated_load(self, name):
         """Estimated requests at a replica, waiting ones included."""
-        seen = self.conditions[name]
-        others = max(0, seen["c"]["run"] + seen["c"]["wait"] - seen["own"])
+        known = self.conditions[name]
+        others = max(0, known["c"]["run"] + known["c"]["wait"] - known["own"])
         return others + self.own_requests.get(name, 0)
 
     def has_room(self, name):
@@ -184,13 +184,13 @@
         the last report showed; what others took since is not known to it. A share
         below one place is drawn once per report.
         """
-        seen = self.conditions[name]
-        c = seen["c"]
+        known = self.conditions[name]
+        c = known["c"]
         free = max(0, c["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - c["run"] - c["wait"])
-        if "share" not in seen:
+        if "share" not in known:
             share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.router_count())
-            seen["share"] = int(share) + (self.environment.random.random() < share % 1)
-        return self.own_requests.get(name, 0) - seen["own"] < min(seen["share"], free)
+            known["share"] = int(share) + (self.environment.random.random() < share % 1)
+        return self.own_requests.get(name, 0) - known["own"] < min(known["share"], free)
 
     def mark_full(self, name):
         """It bounced us: nothing more of ours goes there until it reports again."""
--- a/mothshed/replicas/leaders.py
+++ b/mothshed/replicas/leaders.py
@@ -40,5 +40,5 @@
     def on_look_elsewhere(self, sender, body):
         if body["leader"] and body["leader"] != self.known.get(body["part"]):
             self.known[body["part"]] = body["leader"]
-            for call in self.listeners:
-                call(body["part"])
+            for listener in self.listeners:
+                listener(body["part"])
--- a/mothshed/replicas/platform_list.py
+++ b/mothshed/replicas/platform_list.py
@@ -10,13 +10,13 @@
 
 
 def read(environment, url):
-    status, said = environment.web.poll("GET", url, read=constants.LIST_READ_TIMEOUT_S)
+    status, response = environment.web.poll("GET", url, read=constants.LIST_READ_TIMEOUT_S)
     if status != 200:
         raise web.WebFault(f"list status {status}", True)
-    return parse(said)
+    return parse(response)
 
 
-def parse(said):
+def parse(response):
     """
     >>> parse({"items": [{"name": "r1", "address": "127.0.0.1:1", "zone": "a", "service": "s",
     ...     "labels": {"app": "x"}, "state": "leaving"}]})["r1"]["leaving"]
@@ -24,7 +24,7 @@
     """
     rows = {}
     try:
-        for item in said["items"]:
+        for item in response["items"]:
             rows[str(item["name"])] = {
                 "url": "http://" + item["address"],
                 "cell": str(item["zone"]),
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -43,8 +43,8 @@
     """
     keys, chain = [], b""
     for at in range(0, min(len(prompt) // constants.CACHE_BLOCK_CHARS, constants.MAX_PROMPT_CACHE_KEYS)):
-        piece = prompt[at * constants.CACHE_BLOCK_CHARS : (at + 1) * constants.CACHE_BLOCK_CHARS].encode()
-        chain = hashlib.blake2b(chain + piece, digest_size=4).digest()
+        block = prompt[at * constants.CACHE_BLOCK_CHARS : (at + 1) * constants.CACHE_BLOCK_CHARS].encode()
+        chain = hashlib.blake2b(chain + block, digest_size=4).digest()
         keys.append(chain.hex())
     return keys
 
@@ -68,21 +68,21 @@
 
 
 def send_failure(error, replica):
-    kind = verdict.Verdict.MAY_HAVE_RUN if error.sent else verdict.Verdict.NOT_RUN
-    return verdict.SendFailure(kind, str(error), replica)
+    outcome = verdict.Verdict.MAY_HAVE_RUN if error.sent else verdict.Verdict.NOT_RUN
+    return verdict.SendFailure(outcome, str(error), replica)
 
 
 def status_failure(response, replica):
     """A status that is not 200: not_run only when the replica itself says so."""
     try:
         error = response.body().get("error", {})
-        said, kind = error.get("verdict"), error.get("type", "")
+        stated, kind = error.get("verdict"), error.get("type", "")
     except (web.WebFault, AttributeError):
-        said, kind = None, ""
-    clean = said == "not_run" and response.headers.get("x-request-id") is not None
-    proof = verdict.Verdict.NOT_RUN if clean else verdict.Verdict.MAY_HAVE_RUN
+        stated, kind = None, ""
+    proven = stated == "not_run" and response.headers.get("x-request-id") is not None
+    outcome = verdict.Verdict.NOT_RUN if proven else verdict.Verdict.MAY_HAVE_RUN
     return verdict.SendFailure(
-        proof, f"status {response.status} {kind}".strip(), replica, handle_lost=kind == "kv_gone"
+        outcome, f"status {response.status} {kind}".strip(), replica, handle_lost=kind == "kv_gone"
     )
 
 
@@ -111,10 +111,10 @@
         )
         if response.status != 200:
             raise status_failure(response, endpoint.name)
-        said = response.body()
-        params = said["kv_transfer_params"]
+        answer = response.body()
+        params = answer["kv_transfer_params"]
         needed = [params[k] for k in ("remote_engine_id", "remote_block_ids", "remote_host", "remote_port")]
-        if params["remote_request_id"] != name or said["id"] not in completion_ids(name):
+        if params["remote_request_id"] != name or answer["id"] not in completion_ids(name):
             raise ValueError("handle of another request")
         if not all(isinstance(n, (str, int, list)) and n != "" for n in needed):
             raise ValueError("handle not whole")
@@ -217,25 +217,25 @@
     the export may still be coming, so only a free that was carried out does.
     """
     body = {"engine_id": handle.engine, "request_id": handle.request, "block_ids": handle.params["remote_block_ids"]}
-    status, said = environment.web.poll(
+    status, answer = environment.web.poll(
         "POST", handle.address + "/kv/free", body, read=constants.HANDLE_RELEASE_TIMEOUT_S
     )
     return status == 200 or status == 404 and handle.confirmed
 
 
 def condition(environment, url):
-    status, said = environment.web.poll("GET", url + "/condition")
-    if status != 200 or not isinstance(said, dict):
+    status, answer = environment.web.poll("GET", url + "/condition")
+    if status != 200 or not isinstance(answer, dict):
         raise web.WebFault(f"status {status}", True)
     try:
         return {
-            "engine": str(said["engine_id"]),
-            "role": str(said["role"]),
-            "run": int(said["running"]),
-            "wait": int(said["waiting"]),
-            "slots": int(said["slots"]),
-            "keys": [str(k) for k in said["cache"]][-constants.MAX_REPLICA_CACHE_KEYS :],
-            "standing": int(said["standing"]),
+            "engine": str(answer["engine_id"]),
+            "role": str(answer["role"]),
+            "run": int(answer["running"]),
+            "wait": int(answer["waiting"]),
+            "slots": int(answer["slots"]),
+            "keys": [str(k) for k in answer["cache"]][-constants.MAX_REPLICA_CACHE_KEYS :],
+            "standing": int(answer["standing"]),
         }
     except (KeyError, TypeError, ValueError) as e:
         raise web.WebFault(f"condition: {e!r}", True) from e
