--- a/mothshed/control_plane/replication.py
+++ b/mothshed/control_plane/replication.py
@@ -27,10 +27,10 @@
         self.quorum_until = 0.0
         self.ready = False
         self.elected_at = self.environment.now()
-        self.encoded = None  # the newest snapshot as text, while somebody needs it
+        self.encoded_snapshot = None  # the newest snapshot as text, while somebody needs it
 
     def targets(self):
-        return self.other_members() + [m for m in self.learners if m not in self.members]
+        return self.other_members() + [member for member in self.learners if member not in self.members]
 
     def progress_of(self, member):
         if member not in self.progress:
@@ -39,11 +39,11 @@
 
     def replicate(self):
         """Sends what is missing to every member, at most once in a MIN_ROUND_INTERVAL_S."""
-        gap = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
-        if gap <= 0:
+        delay_s = self.replicated_at + constants.MIN_ROUND_INTERVAL_S - self.environment.now()
+        if delay_s <= 0:
             self.replicate_now()
         elif not self.replicate_timer:
-            self.replicate_timer = self.environment.call_later(gap, self.guard(self.replicate_now))
+            self.replicate_timer = self.environment.call_later(delay_s, self.handle_disk_faults(self.replicate_now))
 
     def replicate_now(self):
         self.replicate_timer = None
@@ -55,14 +55,14 @@
         self.sent_at.pop(self.round - constants.MAX_REMEMBERED_ROUNDS, None)
         for member in self.targets():
             self.send_append(member)
-        self.count_rounds()
+        self.advance_confirmed_round()
 
     def send_append(self, member):
         """One append: entries as far as the window allows, else none but the round and the commit index."""
         progress = self.progress_of(member)
-        if progress.next - 1 < self.log.base:
-            self.send_piece(member, progress)
-        previous = progress.next - 1 if progress.transfer is None else 0
+        if progress.next_index - 1 < self.log.base:
+            self.send_snapshot_chunk(member, progress)
+        previous = progress.next_index - 1 if progress.transfer is None else 0
         entries, size = self.next_entries(progress)
         self.send(
             member,
@@ -70,55 +70,57 @@
             term=self.log.term,
             prev=previous,
             prev_term=self.log.term_at(previous) or 0,
-            commit=self.commit,
+            commit=self.commit_index,
             round=self.round,
-            echoed=progress.round,
+            echoed=progress.echoed_round,
             confirmed=self.confirmed_round,
             entries=entries,
         )
         if entries:
-            progress.sent(self.round, entries[-1]["i"], size)
+            progress.record_sent(self.round, entries[-1]["i"], size)
 
     def next_entries(self, progress):
         """The entries to send now and their size; none while a snapshot is on its way."""
         if progress.transfer is not None:
             return [], 0
-        room, entries, size = min(progress.room(), constants.MAX_APPEND_BYTES), [], 0
-        for index in range(progress.next, min(self.log.last, progress.next + constants.MAX_APPEND_ENTRIES - 1) + 1):
-            more = self.log.entry_bytes(index)
-            if size + more > room and (entries or progress.flights):
+        room, entries, size = min(progress.available_window_bytes(), constants.MAX_APPEND_BYTES), [], 0
+        for index in range(
+            progress.next_index, min(self.log.last, progress.next_index + constants.MAX_APPEND_ENTRIES - 1) + 1
+        ):
+            entry_bytes = self.log.entry_bytes(index)
+            if size + entry_bytes > room and (entries or progress.in_flight):
                 break
             entries.append(self.log.get(index))
-            size += more
+            size += entry_bytes
         return entries, size
 
-    def send_piece(self, member, progress):
+    def send_snapshot_chunk(self, member, progress):
         """Starts the transfer of the newest snapshot, or goes on with the one under way."""
         now = self.environment.now()
         if progress.transfer is None:
-            if self.encoded is None or self.encoded.index != self.log.snapshot["index"]:
-                self.encoded = snapshot_transfer.Encoded(self.log.snapshot)
-            progress.transfer = snapshot_transfer.Transfer(self.encoded)
-        if progress.transfer.due(now):
-            self.send(member, "snap", term=self.log.term, **progress.transfer.piece(now))
+            if self.encoded_snapshot is None or self.encoded_snapshot.index != self.log.snapshot["index"]:
+                self.encoded_snapshot = snapshot_transfer.EncodedSnapshot(self.log.snapshot)
+            progress.transfer = snapshot_transfer.SnapshotTransfer(self.encoded_snapshot)
+        if progress.transfer.chunk_due(now):
+            self.send(member, "snap", term=self.log.term, **progress.transfer.next_chunk(now))
 
     def on_snap_say(self, sender, body):
         progress = self.progress.get(body["who"])
         if not self.is_leader or body["term"] != self.log.term or progress is None:
             return
-        progress.answered_at, progress.answered = self.environment.now(), True
-        if progress.transfer is None or body["index"] != progress.transfer.encoded.index:
+        progress.last_response_at, progress.has_responded = self.environment.now(), True
+        if progress.transfer is None or body["index"] != progress.transfer.snapshot.index:
             return
         if body["done"]:
-            progress.installed(body["index"])
-            self.encoded = None if not self.transfers() else self.encoded
-            self.count_commit()
+            progress.record_installed(body["index"])
+            self.encoded_snapshot = None if not self.active_transfers() else self.encoded_snapshot
+            self.advance_commit_index()
             self.replicate()
             return
-        progress.transfer.answered(body["index"], body["offset"])
-        self.send_piece(body["who"], progress)
+        progress.transfer.acknowledged(body["index"], body["offset"])
+        self.send_snapshot_chunk(body["who"], progress)
 
-    def transfers(self):
+    def active_transfers(self):
         """The followers to which a snapshot is on its way."""
         return [member for member, progress in self.progress.items() if progress.transfer is not None]
 
@@ -131,68 +133,70 @@
         if not self.is_leader or body["term"] != self.log.term or member not in self.targets():
             return
         progress = self.progress_of(member)
-        progress.echoed(body["round"], self.environment.now())
+        progress.record_response(body["round"], self.environment.now())
         if progress.transfer is None:
             if body["good"]:
-                progress.accepted(body["match"], body["round"])
+                progress.record_accepted(body["match"], body["round"])
             else:
-                progress.rejected(body["match"], body["round"], self.round)
-        if progress.next <= self.log.last and progress.room() > 0:
+                progress.record_rejected(body["match"], body["round"], self.round)
+        if progress.next_index <= self.log.last and progress.available_window_bytes() > 0:
             self.replicate()
-        self.count_rounds()
-        self.count_commit()
+        self.advance_confirmed_round()
+        self.advance_commit_index()
         self.change_members()
 
-    def count_commit(self):
-        held = {member: progress.match for member, progress in self.progress.items()}
-        held[self.member_id] = self.log.last
-        index = self.membership.agreed(held)
-        if index > self.commit and self.log.term_at(index) == self.log.term:
-            self.commit = index
+    def advance_commit_index(self):
+        match_indexes = {member: progress.match_index for member, progress in self.progress.items()}
+        match_indexes[self.member_id] = self.log.last
+        index = self.membership.quorum_value(match_indexes)
+        if index > self.commit_index and self.log.term_at(index) == self.log.term:
+            self.commit_index = index
             self.apply_all()
             if self.is_leader:
                 self.change_members()
                 self.replicate()
 
-    def count_rounds(self):
+    def advance_confirmed_round(self):
         if not self.is_leader:
             return
-        seen = {member: progress.round for member, progress in self.progress.items()}
-        seen[self.member_id] = self.round
-        confirmed = self.membership.agreed(seen)
+        echoed_rounds = {member: progress.echoed_round for member, progress in self.progress.items()}
+        echoed_rounds[self.member_id] = self.round
+        confirmed = self.membership.quorum_value(echoed_rounds)
         self.confirmed_round = max(self.confirmed_round, confirmed)
         if confirmed in self.sent_at:
             self.quorum_until = max(
                 self.quorum_until, self.sent_at[confirmed] + constants.VOTE_WITHHOLD_S - constants.LEASE_CLOCK_MARGIN_S
             )
-        due = [c for c in self.pending_reads if c[0] <= confirmed]
-        self.pending_reads = [c for c in self.pending_reads if c[0] > confirmed]
-        for need, call in due:
-            call(True)
+        due = [read for read in self.pending_reads if read[0] <= confirmed]
+        self.pending_reads = [read for read in self.pending_reads if read[0] > confirmed]
+        for _round_number, callback in due:
+            callback(True)
 
-    def confirm(self, call):
-        """call(True) once a majority has answered a round sent from now on."""
+    def confirm_leadership(self, callback):
+        """callback(True) once a majority has answered a round sent from now on."""
         if not (self.is_leader and self.ready):
-            call(False)
+            callback(False)
             return
-        self.pending_reads.append((self.round + 1, call))
+        self.pending_reads.append((self.round + 1, callback))
         self.replicate()
 
     def fail_pending_reads(self):
         due, self.pending_reads = self.pending_reads, []
-        for need, call in due:
-            call(False)
+        for _round_number, callback in due:
+            callback(False)
 
     def has_quorum(self):
         return self.is_leader and self.ready and self.environment.now() < self.quorum_until
 
-    def silence(self, member, now):
+    def response_age(self, member, now):
         """Seconds since a member's last answer to this leader, counted from its election at least."""
         progress = self.progress.get(member)
-        return now - (progress.answered_at if progress else self.elected_at)
+        return now - (progress.last_response_at if progress else self.elected_at)
 
-    def keep_leading(self, now):
-        present = [m for m in self.other_members() if self.silence(m, now) < constants.QUORUM_TIMEOUT_S]
+    def maintain_leadership(self, now):
+        present = [
+            member for member in self.other_members() if self.response_age(member, now) < constants.QUORUM_TIMEOUT_S
+        ]
         if not self.membership.has_quorum([*present, self.member_id]):
             self.step_down(True)
             return
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -104,8 +104,8 @@
             **more,
         }
         document = operator_front.document_of(self.said)
-        assert configuration.faults(document) == []
-        self.form = (self.number + 1, configuration.full(document))
+        assert configuration.validation_errors(document) == []
+        self.form = (self.number + 1, configuration.with_defaults(document))
         self.number += 1
 
     def sequence(self):
@@ -180,7 +180,7 @@
         }
         self.router = router_module.Router(self.environment, settings, speech)
         self.router.lease = self.lease
-        self.router.budget.born -= 100  # old enough to use its part of the slack
+        self.router.retry_budget.started_at -= 100  # old enough to use its part of the slack
         self.router.replicas.max_list_age = self.router.replicas.request_interval = 0.02  # nobody reads the list for it
         self.router.replicas.fresh_at = self.environment.now()  # and it does not wait for that first
         self.router.run()
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -141,7 +141,7 @@
 
 def count_alone(self):
     """Commits what the leader alone has written."""
-    self.commit = self.log.last
+    self.commit_index = self.log.last
     self.apply_all()
 
 
@@ -154,7 +154,7 @@
 
 
 def test_the_walks_find_a_commit_without_a_majority(monkeypatch):
-    broken_by(monkeypatch, replication.Replication, "count_commit", count_alone, "^index .* is .* and ")
+    broken_by(monkeypatch, replication.Replication, "advance_commit_index", count_alone, "^index .* is .* and ")
 
 
 def test_the_walks_find_votes_without_a_majority(monkeypatch):
@@ -175,8 +175,8 @@
 def test_no_quorum_of_a_joint_membership_misses_one_of_the_old_or_the_new(old, new):
     everyone = sorted(set(old + new))
     before, after = membership.Membership(dict.fromkeys(old)), membership.Membership(dict.fromkeys(new))
-    joint = before.change_to(after.voters)
-    assert joint.settled() == after
+    joint = before.enter_joint(after.voters)
+    assert joint.leave_joint() == after
     for settled in (before, after):
         assert all(one & other for one in quorums(joint, everyone) for other in quorums(settled, everyone))
 
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -72,7 +72,7 @@
         assert fronts.call(front, "PUT", "/configuration", sent, {"If-Match": "0"})[0] == 504
     assert len(member.proposed) == 1 and len(front.calls.proposed) == 1
     if end == "lost":
-        front.calls.end_write(member.proposed[0]["id"], None)
+        front.calls.finish_write(member.proposed[0]["id"], None)
     else:
         member.waiting[0]()
     assert front.calls.proposed == {}
@@ -95,14 +95,14 @@
     assert operators.put(member, 0, 6)[0] == 412  # lost its race
     assert operators.put(member, 9, 9, "other")[0] == 400  # the number is used
     assert len(member.proposed) == count
-    member.confirm = lambda call: call(False)
+    member.confirm_leadership = lambda call: call(False)
     for base, edition in ((0, 5), (0, 6)):
         assert operators.put(member, base, edition)[0] == 503  # neither acknowledged nor refused
 
 
 def test_an_order_older_than_the_record_is_unclear_and_not_refused():
     member = operators.Member()
-    member.machine.taken.most = 2
+    member.machine.accepted.max_orders = 2
     for edition in range(1, 6):
         assert operators.put(member, edition - 1, edition)[0] == 200
     assert [operators.put(member, edition - 1, edition)[0] for edition in range(1, 6)] == [504, 504, 504, 200, 200]
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("name", CALLS)
 def test_nothing_is_answered_as_read_or_written_unless_a_majority_confirms(name):
     member = operators.Member()
-    member.confirm, member.commits = lambda call: call(False), "lost"
+    member.confirm_leadership, member.commits = lambda call: call(False), "lost"
     assert CALLS[name](member)[0] == (504 if "put" in name else 503)
 
 
