--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -9,7 +9,7 @@
 import mothshed.control_plane.keeper_front as keeper_front
 import mothshed.control_plane.lease_bounds as lease_bounds
 import mothshed.control_plane.limit_bounds as limit_bounds
-import mothshed.control_plane.list_task as list_task
+import mothshed.control_plane.list_leader_task as list_leader_task
 import mothshed.control_plane.member as member_module
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.permit_duty as permit_duty
@@ -25,7 +25,7 @@
 import mothshed.transport.gossip as gossip
 import mothshed.transport.remembered as remembered
 
-LeaderTask = config_leader_task.ConfigLeaderTask | orders.OrderTask
+LeaderTask = config_leader_task.ConfigLeaderTask | orders.OrderLeaderTask
 
 
 def load_member_id(disk, name, token_hex):
@@ -95,10 +95,10 @@
             in_force = settings.get("in_force_s", constants.DEFAULT_ACTIVATION_DELAY_S)
             return member, config_leader_task.ConfigLeaderTask(member, lease_bounds.LeaseBounds(in_force))
         tenure = settings.get("tenure_s")
-        duty = orders.OrderTask(member, self.replicas, self.lease, self.journal, self.replica_protocol, tenure)
-        permit_duty.PermitTask(member, self.lease, self.journal, limit_bounds.from_settings(settings))
+        duty = orders.OrderLeaderTask(member, self.replicas, self.lease, self.journal, self.replica_protocol, tenure)
+        permit_duty.PermitLeaderTask(member, self.lease, self.journal, limit_bounds.from_settings(settings))
         if self.replica_protocol and part == constants.LIST_READER_PART:
-            list_task.ListTask(member, self.replicas)
+            list_leader_task.ListLeaderTask(member, self.replicas)
         return member, duty
 
     def disk_failed(self):
@@ -168,7 +168,7 @@
         for row, duty, member in zip(parts, self.leader_tasks, self.members, strict=True):
             row.update(duty.report())
             for other in member.leader_tasks:
-                if isinstance(other, permit_duty.PermitTask):
+                if isinstance(other, permit_duty.PermitLeaderTask):
                     row.update(other.report())
         return {
             "name": self.settings["name"],
--- a/mothshed/control_plane/list_task.py
+++ b/mothshed/control_plane/list_leader_task.py
@@ -13,7 +13,7 @@
 import mothshed.http.web as web
 
 
-class ListTask:
+class ListLeaderTask:
     def __init__(self, member, listed):
         self.member, self.environment, self.listed = member, member.environment, listed
         self.active = False
--- a/mothshed/control_plane/load_task.py
+++ b/mothshed/control_plane/load_leader_task.py
@@ -13,7 +13,7 @@
 import mothshed.replicas.replica_load as replica_load
 
 
-class LoadTask:
+class LoadLeaderTask:
     def __init__(self, member, service_of=lambda name: ""):
         self.member, self.environment = member, member.environment
         self.service_of = service_of  # replica -> its service
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -13,7 +13,7 @@
 import typing
 
 import mothshed.constants as constants
-import mothshed.control_plane.load_task as load_task
+import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.control_plane.parts as parts
 import mothshed.control_plane.service_part as service_part
 import mothshed.http.web as web
@@ -26,12 +26,12 @@
     return condition["run"], condition["wait"], condition["slots"]
 
 
-class OrderTask:
+class OrderLeaderTask:
     def __init__(self, member, replicas, lease, journal, speech=None, tenure=None):
         self.order_role = speech.order_role if speech else replica_adapter.order_role
         self.keeps_reported_roles = speech is not None and speech.gives_roles
         self.announces_token = speech is None or speech.says_standing
-        self.load_task = load_task.LoadTask(member, self.service_of) if speech else None
+        self.load_task = load_leader_task.LoadLeaderTask(member, self.service_of) if speech else None
         self.no_repeat_until = {}  # (replica, role) -> until when a taken order is not said again
         self.member, self.machine, self.environment = member, member.machine, member.environment
         self.replicas, self.lease, self.journal = replicas, lease, journal
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -18,7 +18,7 @@
 Grant = tuple[int, float]  # how many are granted, and seconds until the next token if that is fewer than asked for
 
 
-class PermitTask:
+class PermitLeaderTask:
     """What a member of a part does for the limits of the part's tenants."""
 
     def __init__(
--- a/mothshed/replicas/listed_replicas.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -1,6 +1,6 @@
 """Replicas known from the platform's list alone.
 
-One process reads the list and tells all others (control_plane/list_task.py); who hears
+One process reads the list and tells all others (control_plane/list_leader_task.py); who hears
 nothing for LIST_MAX_AGE_S reads it for itself.
 Where the list itself tells each replica's part, no reports are asked for: a replica
 is usable while it is listed and staying. One that fails a send without proof is left
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -14,7 +14,7 @@
         self.seats = {member_id: Seat(self, member_id) for member_id in "ABC"}
         self.leader_tasks = {}
         for member_id, seat in self.seats.items():
-            self.leader_tasks[member_id] = orders.OrderTask(seat, None, Lease(), None)
+            self.leader_tasks[member_id] = orders.OrderLeaderTask(seat, None, Lease(), None)
             self.leader_tasks[member_id].tenure = tenure
         self.log, self.leader, self.frozen = [], None, {}
         self.arrived = []  # (time, who, fence)
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -88,7 +88,7 @@
 
     def duty(self, seat):
         lease = types.SimpleNamespace(current=lambda: (1, {"tenants": {TENANT: {"rate_per_s": RATE, "burst": BURST}}}))
-        return permit_duty.PermitTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        return permit_duty.PermitLeaderTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def boot_router(self):
         self.pool.ears[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -44,7 +44,7 @@
         return 1, {"tenants": {"a": ROW}}
 
 
-class NotingDuty(permit_duty.PermitTask):
+class NotingDuty(permit_duty.PermitLeaderTask):
     """Notes what is granted, and when a leader begins with a credit."""
 
     group = None
--- a/tests/test_decode_capacity.py
+++ b/tests/test_decode_capacity.py
@@ -9,7 +9,7 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.decode_capacity as decode_capacity
-import mothshed.control_plane.load_task as load_task
+import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.replicas.replica_load as replica_load
 import tests.all_orders as all_orders
 
@@ -98,7 +98,7 @@
 def duty_with(loads, services):
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = load_task.LoadTask(member, lambda name: services[name])
+    duty = load_leader_task.LoadLeaderTask(member, lambda name: services[name])
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire(loads)})
     return pool, duty
 
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -6,7 +6,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.load_task as load_task
+import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.data_plane.pair as pair_module
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.prompt_parts as prompt_parts
@@ -188,7 +188,7 @@
 def test_sums_leave_out_the_asker_the_old_and_what_an_order_no_longer_keeps_away():
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = load_task.LoadTask(member)
+    duty = load_leader_task.LoadLeaderTask(member)
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire({"d1": usage(2, 0.5, [1, 0, 10])})})
     duty.on_usage(
         "r:2",
--- a/tests/test_permit_duty.py
+++ b/tests/test_permit_duty.py
@@ -39,7 +39,7 @@
         self.seat = Seat(self.pool)
         self.sequence, self.tenants = 1, {"a": ROW}
         lease = types.SimpleNamespace(current=lambda: (self.sequence, {"tenants": self.tenants}))
-        self.duty = permit_duty.PermitTask(self.seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        self.duty = permit_duty.PermitLeaderTask(self.seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def put(self, **tenants):
         """A newer document with these tenants."""
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -37,7 +37,7 @@
     "lease": ("Lease.tick", "grant", "news", "look_elsewhere"),
     "usage": ("LoadReporter.tick", "usages"),
     "usage duty": ("usage",),
-    "order duty": ("OrderTask.tick",),
+    "order duty": ("OrderLeaderTask.tick",),
     "configuration and agreement": (
         "ask",
         "news_ack",
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.load_task as load_task
+import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.data_plane.route_front as route_front
 import mothshed.replicas.replica_load as replica_load
 import mothshed.storage.disk_log as disk_log
@@ -69,7 +69,7 @@
     """What one usage report costs the leader of a service part when so many routers report."""
     size = size or design.Size(requests=design.REQUESTS_S / design.NODES)
     member = LoneMember()
-    duty = load_task.LoadTask(member)
+    duty = load_leader_task.LoadLeaderTask(member)
     chance = design.seeded("usage", routers)
     names = [n for n, row in design.rows(size).items() if row["role"] == "decode"]
     names = names[:: constants.PART_COUNT - 1]  # one part's share of the replicas
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -11,7 +11,7 @@
 CONSTANTS = "mothshed/constants.py"
 PLACING = "mothshed/data_plane/placing.py"
 SENDS = "mothshed/data_plane/delivery_sends.py"
-LOAD_SUMS = "mothshed/control_plane/load_task.py"
+LOAD_SUMS = "mothshed/control_plane/load_leader_task.py"
 CONFIGURATION = "mothshed/control_plane/config_leader_task.py"
 
 
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -160,7 +160,7 @@
         "new after ack",
     ),
     "a pool's bounds hold over its parts": (
-        weakened.put(orders.OrderTask, pool_replicas=weakened.alone),
+        weakened.put(orders.OrderLeaderTask, pool_replicas=weakened.alone),
         "small_pool_renamed",
         "pool whole",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -147,7 +147,7 @@
 
 
 ADMIT = carry.Carry.admit
-SHARED = orders.OrderTask.pool_replicas
+SHARED = orders.OrderLeaderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
 TAKE_LIST = replicas.Replicas.update_list
 PREFILL = replica_adapter.prefill
