--- a/mothshed/control_plane/decode_capacity.py
+++ b/mothshed/control_plane/decode_capacity.py
@@ -1,11 +1,12 @@
-"""How many requests a writer carries before it slows down, learnt from the events of its streams.
+"""How many requests a decode replica can serve before it slows down, learned from the events of its streams.
 
-A token comes the later the more requests run beside it, and by how much depends on the engine: one takes thrice
-the time with half of its slots taken, another hardly more with all of them taken. So a line is fitted through
-what is observed: seconds between two events, against requests running. A writer counts as full where the line
-has come to DECODE_FULL_SLOWDOWN_RATIO times its start, or with all its slots taken.
+The more requests run on a replica, the longer each token takes, and by how much depends on the engine: one takes three
+times as long with half of its slots in use, another hardly longer with all of them in use. A line is therefore fitted
+to the observations: seconds between two events against requests running. A replica counts as full where the line
+reaches DECODE_FULL_SLOWDOWN_RATIO times its value for an idle replica, or with all its slots in use.
 
-Until enough is observed the line of an engine is assumed that is full at DECODE_FULL_SLOT_RATIO of its slots.
+Until there are enough observations, the line of an engine that is full at DECODE_FULL_SLOT_RATIO of its slots is
+assumed.
 """
 
 import collections.abc
@@ -16,7 +17,7 @@
 
 @dataclasses.dataclass
 class Moments:
-    """Sums over samples (running, seconds between events), as a regression needs them."""
+    """Weighted sums over samples (requests running, seconds between events) for a linear regression."""
 
     weight: float = 0.0
     running: float = 0.0
@@ -25,12 +26,12 @@
     running_gap: float = 0.0
 
     def scale(self, factor: float) -> None:
-        """Count all samples so far by this share only."""
+        """Multiply the weight of all samples so far by a factor."""
         for field in dataclasses.fields(self):
             setattr(self, field.name, getattr(self, field.name) * factor)
 
     def add(self, running: float, gap_s: float) -> None:
-        """Count one sample."""
+        """Add one sample."""
         self.weight += 1.0
         self.running += running
         self.gap += gap_s
@@ -39,7 +40,7 @@
 
 
 class DecodeCapacity:
-    """What the writers of one service are observed to carry."""
+    """The capacity of the decode replicas of one service, by observation."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
         self.now = now
@@ -47,7 +48,7 @@
         self.observed_at: float | None = None
 
     def observe(self, samples: collections.abc.Iterable[tuple[float, float]]) -> None:
-        """Take samples of one moment, one for each writer: requests running, and mean seconds between events."""
+        """Add samples taken at the same time, one per replica: requests running, mean seconds between events."""
         now = self.now()
         if self.observed_at is not None:
             self.moments.scale(0.5 ** ((now - self.observed_at) / constants.CAPACITY_HALF_LIFE_S))
@@ -57,11 +58,11 @@
                 self.moments.add(running, gap_s)
 
     def full_at(self, slots: float) -> float:
-        """The requests running at which a writer with so many slots counts as full."""
+        """Return the number of running requests at which a replica with so many slots counts as full."""
         all_slots = float(slots)
         assumed = (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / (
             constants.DECODE_FULL_SLOT_RATIO * slots
-        )  # growth per request, of the idle gap
+        )  # growth per request, as a share of the gap of an idle replica
         if self.moments.weight <= 0:
             return (constants.DECODE_FULL_SLOWDOWN_RATIO - 1) / assumed
         idle_gap, growth = self.fit_line(assumed)
@@ -75,9 +76,9 @@
         )
 
     def fit_line(self, assumed: float) -> tuple[float, float]:
-        """(seconds between events of an idle writer, their growth per request).
+        """Return the seconds between events of an idle replica and their growth per running request.
 
-        assumed: that growth as a share of the former, which counts as much as CAPACITY_PRIOR_SPREAD of observed spread.
+        assumed: the prior growth as a share of the idle gap, weighted like an observed spread of CAPACITY_PRIOR_SPREAD.
         """
         sums = self.moments
         running, gap = sums.running / sums.weight, sums.gap / sums.weight
--- a/mothshed/control_plane/list_leader_task.py
+++ b/mothshed/control_plane/list_leader_task.py
@@ -1,9 +1,8 @@
-"""The platform's list is read by one process and told to all.
+"""Reads the platform's list of replicas in one process and distributes it to all others.
 
-The leader of the list's part reads it every beat and pushes what changed, numbered,
-down the kept connections; whoever asks is told the changes since the number it has,
-or the whole. The age of the reading goes along, so that a leader cut off from the
-platform keeps nobody from reading for itself.
+The leader of the list's part reads the list every LIST_POLL_INTERVAL_S, numbers the changes and pushes them to its
+subscribers. A process that asks gets the changes since the number it has, or the whole list. The age of the reading
+is sent along, so that processes read the list themselves if the leader is cut off from the platform.
 """
 
 import collections
@@ -14,12 +13,14 @@
 
 
 class ListLeaderTask:
+    """Reads the list while this member leads, and sends it and its changes to subscribers."""
+
     def __init__(self, member, listed):
         self.member, self.environment, self.listed = member, member.environment, listed
         self.active = False
         self.rows, self.number, self.read_at = {}, 0, -1e9
         self.changes = collections.deque(maxlen=constants.MAX_LIST_CHANGES)  # (number, rows, gone)
-        self.subscribers = {}  # address -> [number it has, when it asked]
+        self.subscribers = {}  # address -> [number that it has, when it asked last]
         member.leader_tasks.append(self)
         self.environment.subscribe("list_ask", self.on_list_ask, member.part)
 
@@ -34,7 +35,7 @@
         self.active = False
 
     def read(self, first_number):
-        """Reads the list every beat for as long as this ownership lasts."""
+        """Read the list periodically until this term of leadership ends."""
         while self.active and self.first_number == first_number:
             started_at = self.environment.now()
             try:
--- a/mothshed/control_plane/load_leader_task.py
+++ b/mothshed/control_plane/load_leader_task.py
@@ -1,8 +1,7 @@
-"""The leader of a service's part adds up what routers have running at its replicas.
+"""Sums up what routers have running at the replicas of a service part; done by the part's leader.
 
-Every router that reports is told the sums of all the others at once. Reports die
-young; nothing here is agreed or kept. The same sums, smoothed, are what the split
-of a pool goes by where replicas' own reports are not read.
+Each router that reports gets the sums of all other routers in reply. Reports expire quickly; nothing is replicated or
+stored. Where the replicas' own load reports aren't read, the split of a pool uses the same sums, smoothed.
 """
 
 import dataclasses
@@ -14,14 +13,16 @@
 
 
 class LoadLeaderTask:
+    """Collects the load reports of routers and answers each with the sums of the others."""
+
     def __init__(self, member, service_of=lambda name: ""):
         self.member, self.environment = member, member.environment
-        self.service_of = service_of  # replica -> its service
+        self.service_of = service_of  # replica -> service
         self.capacities = {}  # service -> DecodeCapacity
         self.reports = load_sums.LoadSums(self.environment.now)
-        self.smoothed = {}  # replica -> [requests, tokens being read]
+        self.smoothed = {}  # replica -> [requests, prompt tokens in prefill]
         self.smoothed_at = None
-        self.changing_until = {}  # replica -> until when an order keeps it away
+        self.changing_until = {}  # replica -> until when it is excluded because of an order
         self.environment.subscribe("usage", self.on_usage, member.part)
 
     def on_usage(self, sender, body):
@@ -41,7 +42,7 @@
         self.environment.send(sender, "usages", part=member.part, mark=body["mark"], rows=sums)
 
     def sums(self, except_router=""):
-        """replica -> ReplicaLoad over all routers but one, and what orders keep away; not to be changed."""
+        """Return the load by replica over all routers except one, with exclusions for orders. Not to be modified."""
         now, total = self.environment.now(), self.reports.totals_without(except_router)
         self.changing_until = {name: until for name, until in self.changing_until.items() if until > now}
         for name, until in self.changing_until.items():
@@ -50,7 +51,10 @@
         return total
 
     def split_load(self, name, role, slots):
-        """(running, waiting, slots) as the split weighs them, smoothed over a second or two."""
+        """Return the smoothed load (running, waiting, slots) that the split uses.
+
+        A prefill replica's load is the time that its prompt tokens take, out of PREFILL_FULL_QUEUE_S.
+        """
         now = self.environment.now()
         if self.smoothed_at is None or now - self.smoothed_at > constants.LOAD_REPORT_INTERVAL_S:
             keep = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.LOAD_HALF_LIFE_S)
@@ -68,11 +72,11 @@
         return run, 0, self.capacity(name).full_at(slots)
 
     def capacity(self, name: str) -> decode_capacity.DecodeCapacity:
-        """What the writers of a replica's service carry."""
+        """Return what the decode replicas of this replica's service can serve."""
         return self.capacities.setdefault(self.service_of(name), decode_capacity.DecodeCapacity(self.environment.now))
 
     def observe_decode_replicas(self, loads: replica_load.Loads) -> None:
-        """Take what the events of running streams tell, one sample for each replica with enough of them."""
+        """Add one sample of time between stream events for each replica that has enough events."""
         samples: dict[str, list[tuple[float, float]]] = {}
         for name, load in loads.items():
             if load.events >= constants.MIN_CAPACITY_EVENTS:
--- a/mothshed/control_plane/load_sums.py
+++ b/mothshed/control_plane/load_sums.py
@@ -1,7 +1,8 @@
-"""The load that all routers report of replicas, added up so that one report costs no more with more routers.
+"""The load that all routers report of replicas, summed incrementally.
 
-Totals are kept as reports come and go: a router is told the totals less its own report. How long
-a replica is to be left alone is no sum but the longest that anyone says, and is kept beside them.
+Totals are updated as reports arrive and expire, so one report costs the same however many routers there are. A router
+gets the totals without its own report. For how long a replica is excluded is the maximum over the routers rather than
+a sum, and is kept separately.
 """
 
 import collections
@@ -18,28 +19,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """What one router said, and when (s of the boot clock)."""
+    """The last report of one router. at: seconds of the boot clock."""
 
     at: float
     loads: replica_load.Loads
 
 
 class LoadSums:
-    """Reports of routers not older than LOAD_TTL_S, and their sums. now: seconds of the boot clock."""
+    """The reports of routers that are no older than LOAD_TTL_S, and their sums. now: the boot clock, in seconds."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
         self.now = now
-        self.reports: collections.OrderedDict[str, Report] = collections.OrderedDict()  # the oldest first
+        self.reports: collections.OrderedDict[str, Report] = collections.OrderedDict()  # oldest first
         self.totals: replica_load.Loads = {}  # by replica, without out_s
         self.reporters: collections.Counter[str] = collections.Counter()  # replica -> reports that name it
-        self.excluded_until: dict[str, dict[str, float]] = {}  # replica -> router -> until when it is left alone
+        self.excluded_until: dict[str, dict[str, float]] = {}  # replica -> router -> until when the router excludes it
 
     def __len__(self) -> int:
-        """How many routers' reports are counted."""
+        """Return the number of routers whose reports are counted."""
         return len(self.reports)
 
     def record(self, sender: str, loads: replica_load.Loads) -> None:
-        """A router's report, in the place of its last one."""
+        """Replace a router's report."""
         self.remove(sender)
         now = self.now()
         self.reports[sender] = Report(now, loads)
@@ -51,13 +52,13 @@
                 self.excluded_until.setdefault(name, {})[sender] = now + load.out_s
 
     def remove(self, sender: str) -> None:
-        """Take a router's report out of the sums."""
+        """Remove a router's report from the sums."""
         report = self.reports.pop(sender, None)
         for name, load in report.loads.items() if report else ():
             self.reporters[name] -= 1
             if self.reporters[name]:
                 add_scaled(self.totals[name], load, -1)
-            else:  # nobody names it any more; what rounding has left goes too
+            else:  # no router reports it any more; this also drops rounding errors
                 del self.totals[name], self.reporters[name]
             routers = self.excluded_until.get(name, {})
             routers.pop(sender, None)
@@ -65,7 +66,7 @@
                 self.excluded_until.pop(name, None)
 
     def remove_expired(self) -> None:
-        """Take out the reports that are too old to count."""
+        """Remove the reports that are older than LOAD_TTL_S."""
         oldest = self.now() - constants.LOAD_TTL_S
         while self.reports:
             sender, report = next(iter(self.reports.items()))
@@ -74,7 +75,7 @@
             self.remove(sender)
 
     def totals_without(self, sender: str = "") -> replica_load.Loads:
-        """Replica -> load over all routers but one; its rows are not to be changed."""
+        """Return the load by replica over all routers except one. The rows must not be modified."""
         self.remove_expired()
         report = self.reports.get(sender)
         own = report.loads if report else {}
@@ -88,7 +89,7 @@
         return found
 
     def exclusions(self, except_router: str) -> dict[str, float]:
-        """Replica -> seconds for which any router but one still leaves it alone."""
+        """Return by replica for how many more seconds any router except one excludes it."""
         now, found = self.now(), {}
         for name, routers in self.excluded_until.items():
             left = max((until - now for router, until in routers.items() if router != except_router), default=0.0)
@@ -98,7 +99,7 @@
 
 
 def add_scaled(total: replica_load.ReplicaLoad, load: replica_load.ReplicaLoad, sign: int) -> None:
-    """Add a load to a total, or take it off again."""
+    """Add a load to a total (sign 1) or subtract it (sign -1)."""
     for name in SUMMED_FIELDS:
         setattr(total, name, getattr(total, name) + sign * getattr(load, name))
     total.reading = [current + sign * change for current, change in zip(total.reading, load.reading, strict=True)]
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -1,11 +1,10 @@
-"""Orders to replicas: roles, by the part's holder only.
-
-The duty runs on the leader of a service part. It takes the seat (one log entry,
-fencing_token one higher), keeps silent for the turn gap, and then on every beat compares
-what replicas report with what the part has agreed, plans the split, commits
-changed roles and sends what is missing, each send under a sure majority, checked
-once its connection stands, right before it is written. None of it leans on replicas
-that check fences: docs/hardening-configuration.md has the argument.
+"""Orders that tell replicas their roles; only the leader of the replicas' part sends them.
+
+The task runs on the leader of a service part. The leader first claims the right to order with one log entry, which
+raises the fencing token by one. It then waits for first_order_delay() and checks every ORDER_INTERVAL_S what the
+replicas report against what the part has agreed: it plans the split, commits changed roles and sends missing orders.
+Each send needs a confirmed majority, checked after its connection is open and right before the order is written.
+The safety of this doesn't depend on replicas that check fencing tokens: see docs/hardening-configuration.md.
 """
 
 import collections
@@ -23,24 +22,30 @@
 
 
 def load_of(condition):
+    """Return the load that a replica reports of itself: requests running, requests waiting, slots."""
     return condition["run"], condition["wait"], condition["slots"]
 
 
 class OrderLeaderTask:
+    """Plans the roles of a part's replicas and sends the orders for them.
+
+    tenure: least seconds between the orders of two leaders, if the deployment sets it.
+    """
+
     def __init__(self, member, replicas, lease, journal, speech=None, tenure=None):
         self.order_role = speech.order_role if speech else replica_adapter.order_role
         self.keeps_reported_roles = speech is not None and speech.gives_roles
         self.announces_token = speech is None or speech.says_standing
         self.load_task = load_leader_task.LoadLeaderTask(member, self.service_of) if speech else None
-        self.no_repeat_until = {}  # (replica, role) -> until when a taken order is not said again
+        self.no_repeat_until = {}  # (replica, role) -> until when an accepted order isn't repeated
         self.member, self.machine, self.environment = member, member.machine, member.environment
         self.replicas, self.lease, self.journal = replicas, lease, journal
         self.split = {}  # pool name -> Split
         self.active = False
-        self.tenure = tenure  # s; how far apart the deployment wants the turns of two holders, if it says so
+        self.tenure = tenure
         self.fencing_token, self.orders_allowed_at = 0, 0.0
-        self.in_progress = set()  # replicas with an order under way
-        self.acknowledged = set()  # (replica, engine) that took an order under this fencing_token
+        self.in_progress = set()  # replicas to which an order is being sent
+        self.acknowledged = set()  # (replica, engine) that accepted an order with this token
         member.leader_tasks.append(self)
 
     def start(self):
@@ -54,7 +59,7 @@
             self.environment.call_later(self.first_order_delay(), self.tick)
 
     def first_order_delay(self) -> float:
-        """How long a new holder keeps silent; the one before may have ordered until its seat was taken."""
+        """Return how long a new leader sends no orders; its predecessor may have sent some until the claim."""
         return constants.FIRST_ORDER_DELAY_S if self.tenure is None else self.tenure + constants.ORDER_DELIVERY_MARGIN_S
 
     def stop(self):
@@ -78,7 +83,7 @@
         self.environment.call_later(constants.ORDER_INTERVAL_S, self.tick)
 
     def pool_replicas(self, selector):
-        """A pool's replicas: ours, other parts', and our rank among the parts that have some."""
+        """Return the pool's replicas of this part, those of other parts, and this part's rank by replica count."""
         found = self.replicas.usable(selector)
         part = {n: parts.part_of(self.replicas.rows[n]["service"]) for n in found if n in self.replicas.rows}
         ours = {n: found[n] for n in part if part[n] == self.member.part}
@@ -88,7 +93,7 @@
         return ours, others, ranking.index(self.member.part) if ours else 0
 
     def service_of(self, name: str) -> str:
-        """The service of a replica; empty once it is listed no more."""
+        """Return the service of a replica, or "" if it is no longer listed."""
         return str(self.replicas.rows[name]["service"]) if name in self.replicas.rows else ""
 
     def load_of(self, name, condition):
@@ -106,7 +111,7 @@
             split = self.split.setdefault(name, service_part.Split(self.environment.now))
             loads = {n: self.load_of(n, c) for n, c in found.items()}
             roles = self.machine.roles
-            if self.keeps_reported_roles:  # a replica keeps the part that it came with
+            if self.keeps_reported_roles:  # a replica keeps the role that it reports
                 roles = {**{n: c["role"] for n, c in found.items() if c["role"] != "none"}, **roles}
             target_roles.update(split.plan(pool, loads, roles, others, rank))
         gone = [n for n in self.machine.roles if n not in self.replicas.rows]
@@ -118,14 +123,14 @@
         self.send_orders(target_roles)
 
     def roles_committed(self, result: dict[str, typing.Any] | None, target_roles: dict[str, str]) -> None:
-        """Changed roles are in the part's log: their orders go out at once, not on the next beat."""
+        """Send the orders of changed roles as soon as the part has committed them, not at the next check."""
         if result is not None and self.may_send(self.fencing_token) and self.lease.current()[0] is not None:
             self.send_orders([name for name in target_roles if name in self.machine.roles])
 
     def send_orders(self, names: collections.abc.Iterable[str]) -> None:
-        """Order those of these replicas that do not yet have the role which the part has agreed on."""
+        """Send an order to each of these replicas that doesn't yet have the role the part has agreed on."""
         for name in names:
-            # each replica hears of a new fencing_token once, so that older holders are fenced off there
+            # each replica gets a new fencing token once, so that it rejects orders of former leaders
             known = self.replicas.conditions.get(name)
             needs_order = known and (
                 known["c"]["role"] != self.machine.roles[name]
@@ -147,10 +152,10 @@
         self.environment.spawn(lambda: self.send_order(name, row["url"], role, fencing_token))
 
     def order_still_valid(self, name: str, role: str) -> bool:
-        """Whether a lease runs under which a pool with a split has the replica, and the part gives it this role.
+        """Return whether the part assigns this role and a valid lease has the replica in a pool with a split.
 
-        The role is agreed in the part's own log: a change of the configuration that leaves the replica in a
-        pool does not make its order wrong, however many such changes come while it is prepared.
+        The role is agreed in the part's own log. A configuration change that leaves the replica in such a pool
+        therefore doesn't invalidate the order, however many such changes arrive while it is prepared.
         """
         sequence, document = self.lease.current()
         row = self.replicas.rows.get(name)
@@ -162,13 +167,13 @@
         )
 
     def endpoint(self, name: str, url: str) -> replicas_module.Endpoint:
-        """The replica that an order is meant for: whichever else has its address by then is not to take it."""
+        """Return the replica that an order is for; another one that got its address meanwhile must reject the order."""
         known = self.replicas.conditions.get(name)
         return replicas_module.Endpoint(name, url, known["c"]["engine"] if known else name, "")
 
     def send_order(self, name, url, role, fencing_token):
         accepted = False
-        if self.load_task:  # routers hear of it before the replica does
+        if self.load_task:  # routers stop using the replica before its role changes
             self.load_task.changing_until[name] = self.environment.now() + constants.ROLE_CHANGE_EXCLUSION_S
             self.environment.sleep(constants.ORDER_NOTICE_S)
 
@@ -193,7 +198,9 @@
             self.in_progress.discard(name)
             self.journal.add("order", outcome="taken" if accepted else "failed", replica=name, role=role)
             known = self.replicas.conditions.get(name)
-            if accepted and not self.announces_token:  # the list says so late, and each order has its price
+            if (
+                accepted and not self.announces_token
+            ):  # the list shows the new role late, and every order costs a role change
                 self.no_repeat_until[(name, role)] = self.environment.now() + constants.ORDER_REPEAT_INTERVAL_S
             if accepted and known:
                 known["c"] = {**known["c"], "role": role}
--- a/mothshed/control_plane/permit_duty.py
+++ b/mothshed/control_plane/permit_duty.py
@@ -1,8 +1,8 @@
-"""The leader of a tenant's part grants permits: one for each request of a tenant that has a limit.
+"""Grants permits, one for each request of a tenant that has a limit; done by the leader of the tenant's part.
 
-The count is kept in memory, in a token bucket for each tenant. A leader grants only while no other one can have been
-elected, so grants of two leaders never overlap in time; a new one begins with an empty bucket, or, if its predecessor
-began long enough ago, with what the deployment's bounds leave for that. docs/shared.md has the argument.
+The count is kept in memory, in a token bucket for each tenant. A leader grants only while no other leader can have
+been elected, so grants of two leaders never overlap in time. A new leader starts with an empty bucket or, if its
+predecessor started long enough ago, with what the deployment's bounds allow. See docs/shared.md for the argument.
 """
 
 import collections
@@ -15,36 +15,38 @@
 import mothshed.control_plane.token_bucket as token_bucket
 
 Body = dict[str, typing.Any]
-Grant = tuple[int, float]  # how many are granted, and seconds until the next token if that is fewer than asked for
+Grant = tuple[int, float]  # permits granted, and seconds until the next token if fewer were granted than requested
 
 
 class PermitLeaderTask:
-    """What a member of a part does for the limits of the part's tenants."""
+    """Enforces the limits of a part's tenants on a member of the part."""
 
     def __init__(
         self, member: typing.Any, lease: typing.Any, journal: typing.Any, bounds: limit_bounds.LimitBounds
     ) -> None:
         self.member, self.lease, self.journal, self.bounds = member, lease, journal, bounds
         self.environment = member.environment
-        # when the entries with which the last two leaders began were applied here, or later
+        # when the first entries of the last two leaders were applied here, or a later time
         self.leader_entries_at: collections.deque[float] = collections.deque([self.environment.now()] * 2, maxlen=2)
         self.buckets: dict[str, token_bucket.TokenBucket] = {}
-        self.refused: collections.Counter[str] = collections.Counter()  # tenant -> permits asked for in vain
+        self.refused: collections.Counter[str] = collections.Counter()  # tenant -> permits requested and not granted
         self.started = self.environment.now()
         self.with_credit = False
         self.leading = False
-        self.sequence = 0  # of the document by which buckets were dropped last
-        self.redirected: dict[str, tuple[float, int]] = {}  # address -> (when, mark): asked while no leader was known
+        self.sequence = 0  # of the document for which buckets were dropped last
+        self.redirected: dict[
+            str, tuple[float, int]
+        ] = {}  # address -> (time, mark) of requests that arrived while no leader was known
         member.machine.leader_entry_applied = self.leader_entry_applied
         member.leader_tasks.append(self)
         self.environment.subscribe("permit_ask", self.on_permit_ask, member.part)
 
     def leader_entry_applied(self) -> None:
-        """The entry with which a leader begins was applied."""
+        """Record that the first entry of a leader was applied."""
         self.leader_entries_at.append(self.environment.now())
 
     def start(self) -> None:
-        """This member leads, and its own first entry is applied."""
+        """Start granting: this member leads and has applied its own first entry."""
         self.leading = True
         self.started = self.environment.now()
         self.buckets = {}
@@ -56,23 +58,23 @@
         self.redirected = {}
 
     def stop(self) -> None:
-        """This member leads no more."""
+        """Stop granting: this member no longer leads."""
         self.leading = False
 
     def redirect(self, address: str, mark: int, leader: str) -> None:
-        """Say who leads, "" if that is not known."""
+        """Name the leader to a router; "" if it is unknown."""
         self.environment.send(address, "look_elsewhere", part=self.member.part, mark=mark, leader=leader)
 
     def remember_redirected(self, address: str, mark: int, now: float) -> None:
-        """Remember who is to be told of a new leader, in the order of asking, for as long as that is of use."""
+        """Remember a router that is to be notified of a new leader, for PERMIT_LEADER_NOTICE_TTL_S."""
         self.redirected.pop(address, None)
         self.redirected[address] = (now, mark)
         while now - next(iter(self.redirected.values()))[0] > constants.PERMIT_LEADER_NOTICE_TTL_S:
             del self.redirected[next(iter(self.redirected))]
 
     def on_permit_ask(self, sender: str, body: Body) -> None:
-        """Grant what the buckets hold; tenants that the document in force here does not name get no answer yet."""
-        now = self.environment.now()  # read first: what is granted counts from a moment that has_quorum() speaks for
+        """Grant what the buckets hold. Tenants missing from the document in force here get no answer yet."""
+        now = self.environment.now()  # read before has_quorum(), which thus covers the time from which the grants count
         if not (self.leading and self.member.has_quorum()):
             leader = leader_hint.leader_address(self.member)
             if not leader:
@@ -96,9 +98,9 @@
         self.environment.send(sender, "permits", part=part, mark=mark, sequence=sequence, grants=grants)
 
     def drop_buckets(self, sequence: int, tenants: dict[str, typing.Any], now: float) -> None:
-        """Under a newer document, forget those tenants that it lacks whose buckets are full: a new one holds no more.
+        """Under a newer document, drop the full buckets of tenants that it lacks: a new bucket holds no more.
 
-        A bucket that is not full stays, or a tenant that is taken away and added again would get its burst twice.
+        A bucket that isn't full is kept, or a tenant that is removed and added again would get its burst twice.
         """
         if sequence == self.sequence:
             return
@@ -108,7 +110,7 @@
                 del self.buckets[tenant]
 
     def grant(self, tenant: str, row: dict[str, typing.Any], count: int, now: float) -> Grant:
-        """How many of so many requests of a tenant are let through at this moment."""
+        """Return how many of so many requests of a tenant are granted now, and the wait for the next token."""
         rate = row.get("rate_per_s", 0)
         if not rate:
             self.buckets.pop(tenant, None)
@@ -120,7 +122,7 @@
         return taken, 0.0 if taken >= count else bucket.next_token_s(now)
 
     def bucket(self, tenant: str, rate: float, burst: float, now: float) -> token_bucket.TokenBucket:
-        """The tenant's bucket by its limit as it is now."""
+        """Return the tenant's bucket, adjusted to its current limit."""
         capacity = self.bounds.capacity(rate, burst)
         found = self.buckets.get(tenant)
         if found is None:
@@ -131,7 +133,7 @@
         return found
 
     def report(self) -> dict[str, typing.Any]:
-        """For the page of the keeper's condition."""
+        """Return the fields for the keeper's /condition page."""
         return {
             "limited_tenants": len(self.buckets),
             "began_with_credit": self.with_credit,
--- a/mothshed/control_plane/service_part.py
+++ b/mothshed/control_plane/service_part.py
@@ -1,28 +1,27 @@
-"""A service part: who may order its replicas, and which role each one has.
+"""A service part: who may send orders to its replicas, and which role each replica has.
 
-The leader of the part takes the holder's seat with one log entry, which raises
-the standing by one; orders carry that standing and a replica refuses a lower
-one. A new holder gives no order until FIRST_ORDER_DELAY_S after its seat was committed, and
-an old one none once it is no longer sure of its majority, so two holders never
-take turns within the brief's three seconds.
+The leader of the part claims the right to order with one log entry, which raises the fencing token by one. Orders
+carry the token, and a replica rejects an order with a lower one. A new leader sends no order until
+FIRST_ORDER_DELAY_S after its claim was committed, and a former one sends none once it has no confirmed majority, so
+orders of two leaders are at least three seconds apart.
 """
 
 import math
 
 import mothshed.constants as constants
 
-Load = tuple[float, float, float]  # running, waiting, and how many a replica carries
+Load = tuple[float, float, float]  # requests running, requests waiting, and how many the replica can serve
 
 
 class ServiceMachine:
-    """The replicated state: the holder, its fence, and the role of each replica."""
+    """The replicated state: the leader that may order, its fencing token, and the role of each replica."""
 
-    commands = frozenset({"take", "roles"})  # what this release can apply
+    commands = frozenset({"take", "roles"})  # the commands that this release can apply
 
     def __init__(self):
         self.order_leader, self.fencing_token = "", 0
         self.roles = {}  # replica name -> role
-        self.leader_entry_applied = lambda: None  # told when the entry of a new leader is applied, or may have been
+        self.leader_entry_applied = lambda: None  # called when a new leader's first entry was or may have been applied
 
     def apply(self, index, command):
         if command["op"] == "begin":
@@ -42,25 +41,25 @@
 
     def restore(self, state):
         self.order_leader, self.fencing_token, self.roles = state["holder"], state["standing"], dict(state["roles"])
-        self.leader_entry_applied()  # a snapshot may stand for such an entry
+        self.leader_entry_applied()  # a snapshot may include such an entry
 
 
 def bounds(pool, count):
-    """How many prefill replicas a pool of this size may have: least and most.
+    """Return the lowest and highest number of prefill replicas in a pool of this size.
 
     >>> bounds({"least_prefill": 1, "least_decode": 2}, 5)
     (1, 3)
     >>> bounds({"least_prefill": 1, "least_decode": 1}, 1)
     (0, 1)
 
-    Where a replica is away for seconds while it changes, neither side is ever let down to
-    one that a crowd would bury before the split can turn round.
+    Where a replica is unavailable for seconds while it changes its role ("engine"), each role keeps a minimum share
+    of the pool: a load peak would overwhelm a single replica before the split could be changed back.
 
     >>> [bounds({"least_prefill": 1, "least_decode": 1, "engine": {}}, n) for n in (2, 4, 5, 9, 70)]
     [(1, 1), (1, 2), (1, 3), (2, 5), (17, 42)]
 
-    Such a replica can read a prompt by itself and write, but not the other way round: where they are
-    too few for both sides, they all write.
+    Such a decode replica can also prefill, but a prefill replica can't decode: where there are too few for both
+    roles, all of them decode.
 
     >>> [bounds({"least_prefill": 1, "least_decode": least, "engine": {}}, n) for least, n in ((1, 1), (2, 2), (1, 0))]
     [(0, 0), (0, 0), (0, 0)]
@@ -75,20 +74,21 @@
 
 
 class Split:
-    """Decides roles: fills new replicas in, and shifts one at a time with hysteresis."""
+    """Assigns roles: places new replicas, and moves replicas between the roles with hysteresis."""
 
     def __init__(self, now):
         self.now = now
         self.shifted_at = -1e9
         self.direction, self.checks_in_direction = 0, 0
-        self.bound_broken_checks = 0  # beats in a row that saw a bound broken
+        self.bound_broken_checks = 0  # consecutive checks that found a bound violated
 
     def plan(self, pool, loads, roles, others=None, rank=0):
-        """loads: name -> (running, waiting, slots). Returns name -> role, all of them.
+        """Return the role of each replica of this part by name.
 
-        others: name -> (role, loads) of the pool's replicas that other parts keep, as they
-        report. The bounds hold for the pool as a whole. rank: 0 for the part with the most of
-        its replicas, which alone shifts; the others mend a bound only if it stays broken.
+        loads: name -> (running, waiting, slots). others: name -> (role, load) of the pool's replicas that belong to
+        other parts, as they report. The bounds apply to the pool as a whole. rank: 0 for the part with most of the
+        pool's replicas. Only that part moves replicas between the roles; the others correct a violated bound if it
+        stays violated.
         """
         names, others = sorted(loads), others or {}
         roles = {n: roles[n] for n in names if n in roles}
@@ -112,7 +112,7 @@
             if pool["shift"]
             else 0
         )
-        slow_change = "engine" in pool  # a replica is away for seconds while it changes its part
+        slow_change = "engine" in pool  # a replica is unavailable for seconds while it changes its role
         if slow_change and not self.can_give_up(
             {**roles, **other_roles}, {**loads, **{n: others[n][1] for n in other_roles}}, direction
         ):
@@ -151,7 +151,7 @@
         return roles
 
     def load_ratios(self, roles, loads):
-        """role -> what its replicas bear, as a share of what they can bear."""
+        """Return the load of each role as a share of what its replicas can serve; waiting requests count twice."""
         side = {"prefill": [0, 0], "decode": [0, 0]}
         for name, role in roles.items():
             running, waiting, slots = loads[name]
@@ -160,7 +160,7 @@
         return {r: busy / slots if slots else 0.0 for r, (busy, slots) in side.items()}
 
     def can_give_up(self, roles: dict[str, str], loads: dict[str, Load], direction: int, count_moved: int = 1) -> bool:
-        """Whether the side that gives some up still has room with so many fewer."""
+        """Return whether the role that loses so many replicas still has spare capacity."""
         giving_role = "decode" if direction > 0 else "prefill"
         count = sum(role == giving_role for role in roles.values())
         if count <= count_moved:
@@ -171,7 +171,7 @@
         )
 
     def overload_direction(self, roles, loads):
-        """Above 0: prefill is the tighter side, below: decode, 0: neither; 2 is overloaded."""
+        """Return 1 if prefill is short of replicas, -1 if decode is, 0 if neither; 2 or -2 for an overload."""
         ratios = self.load_ratios(roles, loads)
         for sign, tight, other in ((1, "prefill", "decode"), (-1, "decode", "prefill")):
             if ratios[tight] > max(constants.SHIFT_LOAD_RATIO, constants.SHIFT_IMBALANCE_RATIO * ratios[other]):
