--- a/mothshed/data_plane/load_reporter.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -1,10 +1,9 @@
-"""What this router has running at replicas, told to one holder; what others have, told back.
+"""Reports what this router has running at replicas to the parts' leaders, and receives what other routers have there.
 
-Each service's part has a leader among the keepers. To it a router says, every beat,
-what it has at that part's replicas (requests, prompt tokens being read, who is out),
-and is told the sums of all other routers. So the number of messages grows with the
-routers, not with routers times replicas. A hint only: nothing is decided by it but
-where to place, and without it a router goes by what it knows itself.
+Each service part has a leader among the keepers. A router periodically sends it what it has at that part's replicas
+(requests, prompt tokens in prefill, exclusions) and gets the sums of all other routers back. The number of messages
+thus grows with the number of routers rather than with routers times replicas. The sums are hints that only placement
+uses; without them a router goes by what it knows itself.
 """
 
 import mothshed.constants as constants
@@ -13,6 +12,8 @@
 
 
 class LoadReporter:
+    """Exchanges load reports with the leaders of the service parts."""
+
     def __init__(self, environment, replicas, placing):
         self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
         self.last_active_at, self.mark = -1e9, 0
@@ -21,7 +22,7 @@
         environment.post(self.tick)
 
     def loads_by_part(self):
-        """part -> {replica: ReplicaLoad}, of replicas of which there is anything to tell."""
+        """Return the load of each part's replicas by name, without replicas that have none."""
         found, now = {}, self.environment.now()
         with self.replicas.lock:
             for name, row in self.replicas.rows.items():
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -1,8 +1,9 @@
-"""A router's permits: one for each request of a tenant that has a limit, from the leader of the tenant's part.
+"""A router's permits, one for each request of a tenant that has a limit, granted by the leader of the tenant's part.
 
-All requests that wait here for permits of one part are asked for in one record, one ask at a time. A permit that is
-granted goes to a request that came before its ask was sent, never to a later one: docs/shared.md says why the limit
-leans on that. Until a tenant's next token is there, further requests of it are refused without asking.
+All requests that wait for permits of one part are counted in one record, with one such permit request pending at a
+time. A granted permit goes to a request that arrived before the permit request was sent, never to a later one:
+docs/shared.md explains why the limit depends on that. Until a tenant's next token, its further requests are rejected
+without a permit request.
 """
 
 import collections
@@ -23,40 +24,40 @@
     """A request that waits for a permit."""
 
     event: typing.Any
-    first_request: int | None = None  # of the first ask that counts it
+    first_request: int | None = None  # mark of the first permit request that counts it
     granted: bool = False
-    retry_s: float | None = None  # refused: seconds until the tenant's next token
+    retry_s: float | None = None  # if rejected: seconds until the tenant's next token
 
 
 @dataclasses.dataclass
 class PartRequests:
-    """What waits for permits of one part."""
+    """The requests that wait for permits of one part."""
 
     waiting: dict[str, collections.deque[Waiter]] = dataclasses.field(default_factory=dict)  # by tenant
-    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> when
-    pending_request: int | None = None  # mark of the ask under way
-    answer_s: float = 0.0  # how long answers take: the longest lately
+    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> time
+    pending_request: int | None = None  # mark of the permit request that awaits its answer
+    answer_s: float = 0.0  # the longest recent time to an answer; decays
 
     def note_answer(self, took_s: float) -> None:
-        """An answer took this long."""
+        """Record how long an answer took."""
         self.answer_s = max(took_s, self.answer_s * constants.PERMIT_LATENCY_DECAY_RATIO)
 
     def retry_delay_s(self) -> float:
-        """After how long an ask is made anew. Sooner than answers come, requests would be counted twice."""
+        """Return when to repeat a permit request; before its answer can arrive, requests would be counted twice."""
         expected_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
         return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, expected_s))
 
 
 @dataclasses.dataclass(frozen=True)
 class NextToken:
-    """When a tenant that was refused has its next token, by the leader's document of this sequence."""
+    """When a rejected tenant gets its next token, by the leader's document of this sequence."""
 
     sequence: int
     at: float
 
 
 class Permits:
-    """Asks for permits and hands them to the requests that wait."""
+    """Requests permits and assigns them to the waiting requests."""
 
     def __init__(self, environment: typing.Any, leaders: leaders_module.Leaders, journal: typing.Any) -> None:
         self.environment, self.leaders, self.journal = environment, leaders, journal
@@ -64,7 +65,7 @@
         self.parts = {part: PartRequests() for part in range(1, constants.PART_COUNT)}
         self.next_tokens: dict[str, NextToken] = {}
         self.sequence = 0
-        self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # no life before used the same
+        self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # differs from all marks before a restart
         for part in self.parts:
             environment.subscribe("permits", self.on_permits, part)
         leaders.listeners.append(self.leader_changed)
@@ -72,9 +73,9 @@
     def take(
         self, tenant: str, row: dict[str, typing.Any], sequence: int, until: float, caller: typing.Any = None
     ) -> None:
-        """Take a permit for one request, waiting until then for it at most.
+        """Take a permit for one request, waiting for it until the given time at most.
 
-        row: the tenant's in the document of this sequence. caller: whose leaving ends the wait.
+        row: the tenant's row in the document of this sequence. caller: the wait ends when it disconnects.
         Raises Rejection (429 over the limit, 503 if nobody answers) and CallerDisconnected.
         """
         if not row.get("rate_per_s"):
@@ -93,7 +94,7 @@
         raise verdict.Rejection(503, "no permit", constants.PERMIT_RETRY_AFTER_S, "no_permit")
 
     def enqueue(self, tenant: str, sequence: int, waiter: Waiter) -> None:
-        """Let one more request of a tenant wait for a permit, and ask for it unless an ask is under way."""
+        """Add a waiting request of a tenant, and request permits unless an answer is pending."""
         part = parts.part_of(tenant)
         with self.lock:
             self.sequence = max(self.sequence, sequence)
@@ -102,7 +103,7 @@
                 self.send_request(part)
 
     def refuse_before_next_token(self, tenant: str, sequence: int) -> None:
-        """Raise Rejection (429) if the tenant was refused by this document and its next token is still to come."""
+        """Raise Rejection (429) if the tenant was rejected under this document and has no token yet."""
         known = self.next_tokens.get(tenant)
         if known is None:
             return
@@ -112,7 +113,7 @@
         self.next_tokens.pop(tenant, None)
 
     def wait(self, waiter: Waiter, until: float, caller: typing.Any) -> None:
-        """Wait until the request has its answer, its time is over or its caller has left (CallerDisconnected)."""
+        """Wait for the answer until the given time; raise CallerDisconnected once the caller is gone."""
         while not waiter.granted and waiter.retry_s is None:
             left = until - self.environment.now()
             if left <= 0:
@@ -122,7 +123,7 @@
             waiter.event.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
     def dequeue(self, tenant: str, waiter: Waiter) -> None:
-        """The request waits no more."""
+        """Remove a request that no longer waits."""
         with self.lock:
             waiting = self.parts[parts.part_of(tenant)].waiting
             rows = waiting.get(tenant)
@@ -132,7 +133,7 @@
                 waiting.pop(tenant, None)
 
     def send_request(self, part: int) -> None:
-        """Ask for all that wait for permits of a part; under the lock."""
+        """Request permits for all waiting requests of a part. The caller holds the lock."""
         requests, now = self.parts[part], self.environment.now()
         if not requests.waiting:
             requests.pending_request = None
@@ -153,20 +154,20 @@
         )
 
     def retry_request(self, part: int, mark: int) -> None:
-        """Nobody has answered an ask: it is made anew, perhaps elsewhere."""
+        """Repeat a permit request that has no answer yet, possibly to another keeper."""
         with self.lock:
             if self.parts[part].pending_request == mark:
                 self.journal.add("permit", outcome="unanswered")
                 self.send_request(part)
 
     def leader_changed(self, part: int) -> None:
-        """Somebody was named as a part's leader."""
+        """Repeat the pending permit request at a newly named leader."""
         with self.lock:
             if part in self.parts and self.parts[part].pending_request is not None:
                 self.send_request(part)
 
     def on_permits(self, sender: str, body: Body) -> None:
-        """The leader's answer."""
+        """Assign the grants in the leader's answer."""
         part, mark = body["part"], body["mark"]
         self.leaders.note_response(part, sender)
         with self.lock:
@@ -183,7 +184,7 @@
                 self.request_or_pause(part)
 
     def request_or_pause(self, part: int) -> None:
-        """Ask for what came meanwhile; what the leader could not answer yet waits for the next time. Under the lock."""
+        """Request permits for requests that arrived meanwhile; what got no answer waits. The caller holds the lock."""
         requests = self.parts[part]
         if any(waiter.first_request is None for rows in requests.waiting.values() for waiter in rows):
             self.send_request(part)
@@ -191,7 +192,7 @@
             requests.pending_request = None
 
     def assign_grants(self, requests: PartRequests, tenant: str, mark: int, count: int, wait_s: float) -> None:
-        """Give grants to those that an ask counted, and refuse the others of them if the bucket is empty."""
+        """Grant the requests that the permit request counted; reject the rest of them if the bucket is empty."""
         for waiter in list(requests.waiting.get(tenant, ())):
             if waiter.first_request is None or waiter.first_request > mark:
                 continue
@@ -209,6 +210,6 @@
 
 
 def over_limit_rejection(retry_s: float) -> verdict.Rejection:
-    """The refusal of a request beyond its tenant's limit."""
+    """Return the rejection of a request beyond its tenant's limit."""
     retry_s = max(constants.MIN_PERMIT_RETRY_AFTER_S, round(retry_s, 3))
     return verdict.Rejection(429, "the tenant's limit is reached", retry_s, "over_limit")
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -1,12 +1,11 @@
-"""What a process knows of the replicas: the list, and conditions that age.
-
-Conditions come from own probes and from hints of neighbours; the younger one
-counts. A replica takes nothing new while the own reading of the list shows it
-leaving, and while a neighbour's reading did so that is no more than LEAVING_MARK_TTL_S
-older than the own one: lists lag, so an own reading that still shows it ready
-proves nothing. A process that woke from a sleep places nothing before it has
-asked the list again. Usage is estimated as what others had there at the last report plus
-what this process has there now, so that a stale report does not hide own sends.
+"""What a process knows of the replicas: the platform's list, and conditions that expire.
+
+Conditions come from this process's probes and from hints of neighbours; the more recent one counts. A replica gets no
+new requests while the list as read here shows it leaving, nor while a neighbour's reading does that is at most
+LEAVING_MARK_TTL_S older than the own one: lists lag, so one that still shows the replica ready proves nothing. A
+process that was suspended places nothing until it has asked for the list again. Load is estimated as what others had
+on a replica at its last report plus what this process has there now, so that an old report doesn't hide this process's
+own requests.
 """
 
 import dataclasses
@@ -21,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """A replica as a goal of a send."""
+    """A replica as the destination of a send."""
 
     name: str
     url: str
@@ -30,7 +29,7 @@
 
 
 def selects(selector: dict[str, str], labels: dict[str, str]) -> bool:
-    """Whether a pool's selector fits a replica's labels.
+    """Return whether a pool's selector matches a replica's labels.
 
     >>> selects({"service": "a"}, {"service": "a", "zone": "z"}), selects({"service": "a"}, {"service": "b"})
     (True, False)
@@ -39,18 +38,20 @@
 
 
 class Replicas:
+    """The replicas of the platform's list and their conditions, by name."""
+
     def __init__(self, environment, list_url, journal):
         self.environment, self.list_url, self.journal = environment, list_url, journal
         self.rows = {}  # name -> row of the platform's list
-        self.conditions = {}  # name -> {"at", "own", "c"}
-        self.leaving_marks = {}  # name -> when a neighbour's list showed it leaving
-        self.own_requests = {}  # name -> sends of ours running there
-        self.suspected_until = {}  # name -> until when a failed connect keeps us away
+        self.conditions = {}  # name -> {"at": time, "own": own requests then, "c": condition}
+        self.leaving_marks = {}  # name -> when a neighbour's list showed the replica leaving
+        self.own_requests = {}  # name -> requests of this process running there
+        self.suspected_until = {}  # name -> until when it is excluded after a failure
         self.lock = threading.RLock()
-        self.router_count = lambda: 1  # how many routers place upon the same replicas
-        self.probing, self.failed_probes = set(), {}  # under way / failed in a row
-        self.list_read_at = -1e9  # last reading of the list
-        self.list_attempted_at = -1e9  # last time it was asked, answered or not
+        self.router_count = lambda: 1  # number of routers that use the same replicas
+        self.probing, self.failed_probes = set(), {}  # names being probed; name -> consecutive failures
+        self.list_read_at = -1e9  # when the list was last read
+        self.list_attempted_at = -1e9  # when it was last requested, successfully or not
 
     def run(self):
         self.environment.spawn(self.poll_list)
@@ -76,7 +77,7 @@
                 del self.conditions[name]
 
     def leaving(self):
-        """Names not to be placed upon: shown leaving here, or to a neighbour about as lately."""
+        """Return the replicas that get no new requests: leaving by this list, or by a neighbour's of about that age."""
         with self.lock:
             own = {n for n, row in self.rows.items() if row["leaving"]}
             return own | {
@@ -126,7 +127,7 @@
             ]
 
     def hints(self):
-        """Who is leaving first, then conditions in any order, since a record may hold only some."""
+        """Return leaving replicas first, then conditions in random order, since a record may hold only some."""
         now, leaving = self.environment.now(), self.leaving_hints()
         with self.lock:
             rows = [
@@ -150,7 +151,7 @@
         self.suspected_until[name] = self.environment.now() + duration_s
 
     def usable(self, selector, role=None):
-        """name -> condition of the listed, staying, lately heard replicas under a selector."""
+        """Return by name the condition of the replicas a selector matches that are listed, staying and up to date."""
         now, found = self.environment.now(), {}
         if now - self.list_attempted_at > constants.LIST_ATTEMPT_MAX_AGE_S:
             return found
@@ -172,17 +173,17 @@
             return found
 
     def estimated_load(self, name):
-        """Estimated requests at a replica, waiting ones included."""
+        """Return the estimated number of requests at a replica, including waiting ones."""
         known = self.conditions[name]
         others = max(0, known["c"]["run"] + known["c"]["wait"] - known["own"])
         return others + self.own_requests.get(name, 0)
 
     def has_room(self, name):
-        """Whether one more of ours fits there.
+        """Return whether the replica can take one more request of this process.
 
-        Between two reports a router takes no more than its share of the free places
-        the last report showed; what others took since is not known to it. A share
-        below one place is drawn once per report.
+        Between two reports a router uses no more than its share of the slots that were free in the last report,
+        since it doesn't know what other routers have used since. A share below one slot is drawn at random once
+        per report.
         """
         known = self.conditions[name]
         c = known["c"]
@@ -193,7 +194,7 @@
         return self.own_requests.get(name, 0) - known["own"] < min(known["share"], free)
 
     def mark_full(self, name):
-        """It bounced us: nothing more of ours goes there until it reports again."""
+        """Send nothing more to a replica that rejected a request until it reports again."""
         with self.lock:
             if name in self.conditions:
                 self.conditions[name]["share"] = -math.inf
--- a/mothshed/replicas/leaders.py
+++ b/mothshed/replicas/leaders.py
@@ -1,26 +1,25 @@
-"""Who leads each service part, as far as is known here: a place to ask, nothing more.
+"""The leader of each service part as far as this process knows; used only as an address for requests.
 
-The first ask goes to any keeper; one that does not own the part names the leader it
-follows. A leader that stays silent is forgotten, and keepers are asked in turn.
+The first request of a part goes to any keeper; one that doesn't lead the part names the leader that it follows. A
+leader that doesn't respond for LOAD_LEADER_TIMEOUT_S is forgotten, and the keepers are asked in turn.
 """
 
 import mothshed.constants as constants
 
 
 class Leaders:
+    """Finds the keeper that leads a service part."""
+
     def __init__(self, environment, keepers):
         self.environment, self.keepers = environment, keepers
-        self.known, self.unanswered_since, self.next_keeper = (
-            {},
-            {},
-            0,
-        )  # part -> address; when an ask first went unanswered
-        self.listeners = []  # call(part) when somebody is named as its leader
+        # part -> address; part -> when a request first went unanswered
+        self.known, self.unanswered_since, self.next_keeper = {}, {}, 0
+        self.listeners = []  # called with the part when another leader is named
         for part in range(1, constants.PART_COUNT):
             environment.subscribe("look_elsewhere", self.on_look_elsewhere, part)
 
     def address_for(self, part):
-        """The address to ask now; each ask left unanswered counts towards silence."""
+        """Return the address for the next request; the caller reports a response by note_response()."""
         now = self.environment.now()
         if now - self.unanswered_since.setdefault(part, now) > constants.LOAD_LEADER_TIMEOUT_S:
             self.known.pop(part, None)
@@ -33,7 +32,7 @@
         return addresses[self.next_keeper % len(addresses)] if addresses else ""
 
     def note_response(self, part, address):
-        """The leader of a part has answered."""
+        """Record a response of a part's leader."""
         self.known[part] = address
         self.unanswered_since.pop(part, None)
 
--- a/mothshed/replicas/listed_replicas.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -1,11 +1,10 @@
 """Replicas known from the platform's list alone.
 
-One process reads the list and tells all others (control_plane/list_leader_task.py); who hears
-nothing for LIST_MAX_AGE_S reads it for itself.
-Where the list itself tells each replica's part, no reports are asked for: a replica
-is usable while it is listed and staying. One that fails a send without proof is left
-out for a span that grows with each failure in a row, then tried again; a success
-ends it. The last list counts while newer ones fail, however old it is.
+One process reads the list and distributes it to all others (control_plane/list_leader_task.py). A process that gets no
+list for LIST_MAX_AGE_S reads it itself. Where the list gives each replica's role, replicas aren't probed: a replica is
+usable while it is listed and not leaving. One that fails a send without proof that it works is excluded for a time
+that grows with each consecutive failure, then tried again; a success ends the exclusion. The last list stays in use
+while newer readings fail, however old it is.
 """
 
 import mothshed.constants as constants
@@ -15,15 +14,17 @@
 
 
 class ListedReplicas(replicas.Replicas):
+    """The replicas of the platform's list, without probes."""
+
     def __init__(self, environment, list_url, journal, speech, keepers):
         super().__init__(environment, list_url, journal)
         self.speech = speech
         self.leaders = leaders.Leaders(environment, keepers)
-        self.consecutive_failures = {}  # name -> failures in a row
-        self.number = 0  # of the list's news that is held
+        self.consecutive_failures = {}  # name -> count
+        self.number = 0  # of the last list change received
         self.fresh_at = (
             environment.now() + constants.LIST_MAX_AGE_S * environment.random.random()
-        )  # when the list held was read
+        )  # when the current list was read
         self.reading = False
         self.max_list_age, self.request_interval = constants.LIST_MAX_AGE_S, constants.LIST_REQUEST_INTERVAL_S
         environment.subscribe("list_news", self.on_list_news, constants.LIST_READER_PART)
@@ -42,7 +43,7 @@
         )
 
     def next_request_delay(self) -> float:
-        """Seconds until the reader of the list is asked again: soon while no list is here, since nobody is served."""
+        """Return the seconds until the next request for the list; short without a list, as nothing can be served."""
         return (
             self.request_interval
             if self.rows
@@ -50,17 +51,17 @@
         )
 
     def on_list_news(self, sender, body):
-        """What changed in the list, from the one that reads it for all."""
+        """Apply changes of the list from the process that reads it for all."""
         self.leaders.note_response(constants.LIST_READER_PART, sender)
         if not body["whole"] and body["held"] != self.number:
-            return  # a piece is missing: the next ask says what is held
+            return  # changes are missing; the next request names the number that is held
         rows = {} if body["whole"] else {n: r for n, r in self.rows.items() if n not in body["gone"]}
         self.number = body["number"]
         self.update_list({**rows, **body["rows"]})
         self.fresh_at = self.list_read_at = self.environment.now() - max(0.0, body["age"])
 
     def read_list(self):
-        """No news, or old news: the list is read here."""
+        """Read the list here, since no list or only an old one was received."""
         started_at = self.environment.now()
         try:
             rows = self.speech.rows(self.environment, self.list_url)
@@ -93,7 +94,7 @@
             self.consecutive_failures = {n: c for n, c in self.consecutive_failures.items() if n in rows}
 
     def hints(self):
-        """Only who is leaving: what replicas bear is told to one holder, not from neighbour to neighbour."""
+        """Return leaving replicas only: load is reported to each part's leader instead of among neighbours."""
         return self.leaving_hints()
 
     def usable(self, selector, role=None):
@@ -112,7 +113,7 @@
         return row is not None and self.own_requests.get(name, 0) < row["slots"]
 
     def mark_failed(self, name):
-        """A send there failed without proof that the replica is well."""
+        """Exclude a replica after a send that failed without proof that the replica works."""
         with self.lock:
             count = self.consecutive_failures[name] = self.consecutive_failures.get(name, 0) + 1
         self.suspect(
--- a/mothshed/replicas/platform_list.py
+++ b/mothshed/replicas/platform_list.py
@@ -1,8 +1,7 @@
-"""The one place that knows the platform's list of replicas.
+"""The format of the platform's list of replicas; no other module knows it.
 
-The platform answers GET with {"items": [...]}, each item a replica's name,
-address, zone, service, labels and whether it is leaving. The list lags and may
-fail; the last good one is kept. What leaves here is in our words.
+The platform answers GET with {"items": [...]}; an item has a replica's name, address, zone, service, labels and
+whether it is leaving. The list lags and reading it may fail; callers keep the last good one.
 """
 
 import mothshed.constants as constants
@@ -17,7 +16,8 @@
 
 
 def parse(response):
-    """
+    """Return the rows of a list response by replica name.
+
     >>> parse({"items": [{"name": "r1", "address": "127.0.0.1:1", "zone": "a", "service": "s",
     ...     "labels": {"app": "x"}, "state": "leaving"}]})["r1"]["leaving"]
     True
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Handle:
-    """A KV export held by a prefill replica, bound to one send of one ask and to an engine."""
+    """A KV export held by a prefill replica, bound to one send of one request and to an engine."""
 
-    request: str  # the id of the send that made it
+    request: str  # id of the send that created it
     replica: str
     address: str
     engine: str
     params: dict
     created_at: float
-    confirmed: bool = True  # False: no whole handle came back, yet blocks may be held
+    confirmed: bool = True  # False: no complete handle came back, but blocks may be held
 
 
 def prompt_text(path, body):
@@ -35,7 +35,7 @@
 
 
 def prefix_keys(prompt):
-    """Chained keys of the prompt's whole leading blocks.
+    """Return the chained hash keys of the prompt's complete leading blocks.
 
     >>> a, b = prefix_keys("x" * 600), prefix_keys("x" * 512 + "y" * 100)
     >>> len(a), a == b
@@ -50,7 +50,7 @@
 
 
 def unique_request_id(request, random):
-    """A name for one ask, whatever id its user agent gave it and how often."""
+    """Return a unique id for one request, even if its client uses the same id repeatedly."""
     return f"{request.id[:96]}.{random.getrandbits(48):012x}"
 
 
@@ -73,7 +73,7 @@
 
 
 def status_failure(response, replica):
-    """A status that is not 200: not_run only when the replica itself says so."""
+    """Return the failure for a status other than 200; its verdict is not_run only if the replica says so."""
     try:
         error = response.body().get("error", {})
         stated, kind = error.get("verdict"), error.get("type", "")
@@ -87,9 +87,9 @@
 
 
 def prefill(environment, request, name, endpoint, sequence, remaining_s, ready):
-    """Orders the prefill under the send's name; returns the Handle, its one token is discarded.
+    """Request a prefill under the send's id and return its Handle; the one generated token is discarded.
 
-    ready() is asked once the connection stands, right before the send.
+    ready() is checked once the connection is open, right before the request is written.
     """
     body = {
         **request.body,
@@ -117,29 +117,29 @@
         if params["remote_request_id"] != name or answer["id"] not in completion_ids(name):
             raise ValueError("handle of another request")
         if not all(isinstance(n, (str, int, list)) and n != "" for n in needed):
-            raise ValueError("handle not whole")
+            raise ValueError("handle is incomplete")
         if endpoint.engine and params["remote_engine_id"] != endpoint.engine:
-            raise ValueError("handle of another engine")
+            raise ValueError("handle belongs to another engine")
     except web.WebFault as e:
         raise send_failure(e, endpoint.name) from e
     except (KeyError, TypeError, ValueError) as e:
-        raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"prefill answer: {e!r}", endpoint.name) from e
+        raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"bad prefill response: {e!r}", endpoint.name) from e
     return Handle(name, endpoint.name, endpoint.url, params["remote_engine_id"], params, created_at)
 
 
 def unconfirmed_handle(environment, name, endpoint):
-    """A handle for what a prefill without a whole answer may hold."""
+    """Return a handle for the blocks that a prefill without a complete response may hold."""
     return Handle(
         name, endpoint.name, endpoint.url, endpoint.engine, {"remote_block_ids": []}, environment.now(), False
     )
 
 
 def decode(environment, request, name, endpoint, handle, sequence, remaining_s, ready):
-    """Orders the decode; returns an iterator of (text, finish reason) that ends only when whole."""
+    """Request a decode and return an iterator of (text, finish reason); it raises if the stream is incomplete."""
     if handle.request.rsplit(".", 1)[0] != name.rsplit(".", 1)[0]:
         raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle of another request", endpoint.name, handle_lost=True)
     if environment.now() - handle.created_at > constants.HANDLE_TTL_S:
-        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle too old", endpoint.name, handle_lost=True)
+        raise verdict.SendFailure(verdict.Verdict.NOT_RUN, "handle expired", endpoint.name, handle_lost=True)
     body = {
         **request.body,
         "stream": True,
@@ -164,7 +164,7 @@
 
 
 class Stream:
-    """The decode replica's tokens. Iterating raises SendFailure unless the end was whole."""
+    """The decode replica's tokens. Iterating raises SendFailure unless the stream ends properly."""
 
     def __init__(self, environment, name, endpoint, response, remaining_s):
         self.environment, self.name, self.endpoint, self.response = environment, name, endpoint, response
@@ -175,19 +175,19 @@
         try:
             for line in self.response.lines():
                 if self.environment.now() > self.deadline:
-                    raise ValueError("cutoff passed")
+                    raise ValueError("request deadline exceeded")
                 line = line.strip()
                 if not line:
                     continue
                 if done or not line.startswith(b"data: "):
-                    raise ValueError("not an event line")
+                    raise ValueError("unexpected line in the event stream")
                 if line == b"data: [DONE]":
                     done = True
                     continue
                 text, finish = self.read(json.loads(line[6:]), finish)
                 yield text, finish
             if not (done and finish):
-                raise ValueError("stream ended before its end")
+                raise ValueError("stream ended without a finish reason and [DONE]")
         except web.WebFault as e:
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.endpoint.name) from e
         except (KeyError, IndexError, TypeError, ValueError) as e:
@@ -195,15 +195,15 @@
 
     def read(self, chunk, finish):
         if "error" in chunk:
-            raise ValueError(f"error after 200: {chunk['error']}")
+            raise ValueError(f"error event after status 200: {chunk['error']}")
         if chunk["id"] not in completion_ids(self.name):
-            raise ValueError("chunk of another request")
+            raise ValueError("chunk belongs to another request")
         if finish:
-            raise ValueError("chunk after the finish")
+            raise ValueError("chunk after the finish reason")
         choice = chunk["choices"][0]
         text = choice["delta"].get("content", "") if "delta" in choice else choice["text"]
         if not isinstance(text, str):
-            raise ValueError("chunk without text")
+            raise ValueError("chunk has no text")
         return text, choice.get("finish_reason")
 
     def close(self):
@@ -211,10 +211,10 @@
 
 
 def release_handle(environment, handle):
-    """Orders the free; True once the replica holds the blocks no more.
+    """Release a handle; return True once the replica no longer holds its blocks.
 
-    "Not held" ends the matter for a handle that came back; for one that never did
-    the export may still be coming, so only a free that was carried out does.
+    A 404 suffices for a confirmed handle. For an unconfirmed one the export may still be created, so only a
+    successful release counts.
     """
     body = {"engine_id": handle.engine, "request_id": handle.request, "block_ids": handle.params["remote_block_ids"]}
     status, answer = environment.web.poll(
@@ -242,7 +242,7 @@
 
 
 def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready=lambda: True):
-    """Orders a role under a standing: True when the replica took it. ready() is the last check before the write."""
+    """Order a role; return whether the replica accepted it. ready() is the last check before the write."""
     body = {"role": role, "standing": fencing_token, "holder": leader_id, "sequence": sequence}
     response = environment.web.send("POST", endpoint.url + "/role", body, read=constants.ORDER_TIMEOUT_S, ready=ready)
     status = response.status
--- a/mothshed/replicas/replica_load.py
+++ b/mothshed/replicas/replica_load.py
@@ -1,8 +1,8 @@
-"""What routers report of one replica's load: each of its own, and the sums of all others back to each.
+"""Load reports: what a router reports of one replica, and the sums that routers get back.
 
-On the wire a row is a list of numbers, so that a report stays short; nothing else knows their order. New ones are
-added at the end, and a row of an earlier release, which lacks them, is read as far as it goes: during a roll-out
-routers and keepers of two releases report to each other.
+On the wire a row is a list of numbers, to keep reports short; only this module knows their order. New numbers are
+added at the end, and the missing numbers of an earlier release's row count as 0, because routers and keepers of two
+releases report to each other during a roll-out.
 
 >>> load = ReplicaLoad(requests=2, out_s=0.5, answered=9.0, failed=1.0, reading=[0.0, 1.0, 0.5])
 >>> ReplicaLoad.from_wire(load.to_wire()) == load
@@ -20,39 +20,39 @@
 
 
 def no_prefill_tokens() -> list[float]:
-    """Nothing being read, by rank."""
+    """Return zero prompt tokens for each rank."""
     return [0] * constants.PREFILL_RANK_COUNT
 
 
 @dataclasses.dataclass
 class ReplicaLoad:
-    """Sums over one or several routers; a reading that lies back counts less (answered, failed, events)."""
+    """Sums over one or more routers; older counts of answered, failed and events weigh less."""
 
     requests: float = 0  # requests running there
-    out_s: float = 0.0  # s for which it is not to be placed upon
-    answered: float = 0.0  # requests it lately answered
-    failed: float = 0.0  # requests it lately failed by its own word
-    reading: list[float] = dataclasses.field(default_factory=no_prefill_tokens)  # prompt tokens being read, by rank
-    events: float = 0  # events of its streams that followed another one recently
-    events_s: float = 0.0  # s that they came after those
+    out_s: float = 0.0  # seconds for which it is excluded
+    answered: float = 0.0  # requests that it answered recently
+    failed: float = 0.0  # requests that it recently reported as failed
+    reading: list[float] = dataclasses.field(default_factory=no_prefill_tokens)  # prompt tokens in prefill, by rank
+    events: float = 0  # recent events of its streams that followed another event
+    events_s: float = 0.0  # total seconds between those and the events before them
 
     def to_wire(self) -> Wire:
-        """The row as it is sent; without the events where there are none."""
+        """Return the row for the wire, without the event numbers if there were no events."""
         recent = [round(number, 2) for number in (self.answered, self.failed, self.events, self.events_s)]
         return [self.requests, round(self.out_s, 2), *self.reading, *(recent if any(recent[2:]) else recent[:2])]
 
     @classmethod
     def from_wire(cls, row: Wire) -> "ReplicaLoad":
-        """The row as it was sent; raises ValueError if it is shorter than any release sends."""
+        """Parse a row from the wire; raise ValueError if it is shorter than any release sends."""
         requests, out_s, *rest = row
         reading, recent = rest[: constants.PREFILL_RANK_COUNT], rest[constants.PREFILL_RANK_COUNT :]
         if len(reading) < constants.PREFILL_RANK_COUNT:
-            raise ValueError(f"a load of {len(row)} numbers")
+            raise ValueError(f"load row has only {len(row)} numbers")
         answered, failed, events, events_s = (*recent, 0.0, 0.0, 0.0, 0.0)[:4]
         return cls(requests, out_s, answered, failed, reading, events, events_s)
 
     def add(self, other: "ReplicaLoad", age: float = 0.0) -> None:
-        """Count another router's row in; age: s since it was sent."""
+        """Add another router's row. age: seconds since it was sent."""
         self.requests += other.requests
         self.out_s = max(self.out_s, other.out_s - age)
         self.answered += other.answered
@@ -62,22 +62,22 @@
         self.reading = [own + added for own, added in zip(self.reading, other.reading, strict=True)]
 
     def to_router_wire(self) -> Wire:
-        """The row as routers are told it: without what only the leader of the replica's part goes by."""
+        """Return the row for routers, without the event numbers, which only the leader of the part uses."""
         return [self.requests, round(self.out_s, 2), *self.reading, round(self.answered, 2), round(self.failed, 2)]
 
     def has_values(self) -> bool:
-        """Whether there is anything to tell."""
+        """Return whether any number differs from 0."""
         return any(self.to_wire())
 
 
-Loads = dict[str, ReplicaLoad]  # by the replica's name
+Loads = dict[str, ReplicaLoad]  # by replica name
 
 
 def to_wire(loads: Loads) -> dict[str, Wire]:
-    """Rows by replica as they are sent."""
+    """Return the rows by replica for the wire."""
     return {name: load.to_wire() for name, load in loads.items()}
 
 
 def from_wire(rows: collections.abc.Mapping[str, Wire]) -> Loads:
-    """Rows by replica as they were sent; raises ValueError if one is too short."""
+    """Parse the rows by replica from the wire; raise ValueError if one is too short."""
     return {name: ReplicaLoad.from_wire(row) for name, row in rows.items()}
--- a/mothshed/replicas/verdict.py
+++ b/mothshed/replicas/verdict.py
@@ -1,10 +1,8 @@
-"""The verdict: whether a request may have run.
+"""Verdicts: whether a request may have run on a replica.
 
-Every send ends in one of three verdicts. `not_run` is only ever said on proof
-(the connection was never made, or the replica itself says that it did nothing);
-everything unproven is `may_have_run`. Failures carry their verdict, and several
-failures of one request are raised as one exception group whose joint verdict is
-the gravest of its members.
+Every send ends in one of three verdicts. `not_run` needs proof: the connection was never made, or the replica itself
+says that it did nothing. Everything unproven is `may_have_run`. Failures carry their verdict. Several failures of one
+request are raised as one exception group with the most severe verdict among them.
 
 >>> worst([Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN])
 <Verdict.MAY_HAVE_RUN: 'may_have_run'>
@@ -29,23 +27,23 @@
 
 
 class SendFailure(Exception):
-    """One send that did not succeed."""
+    """A send to a replica that failed."""
 
     def __init__(self, verdict, reason, replica="", handle_lost=False, rejected=False):
         super().__init__(f"{reason} ({replica or 'no replica'}: {verdict.value})")
         self.verdict = verdict
         self.reason = reason
         self.replica = replica
-        self.rejected = rejected  # the replica itself turned it away
-        self.handle_lost = handle_lost  # the held memory is gone: no other decode can help
+        self.rejected = rejected  # the replica itself rejected the request
+        self.handle_lost = handle_lost  # the exported KV memory is lost, so no other decode replica can use the handle
 
 
 class StreamInterrupted(Exception):
-    """A stream that failed after a byte went to the user agent."""
+    """A stream that failed after some of it was sent to the client."""
 
 
 class RequestFailure(ExceptionGroup):
-    """All failed sends of one request that ran or may have, at least in part."""
+    """All failed sends of one request that ran, or may have run, at least in part."""
 
     @property
     def verdict(self):
@@ -53,15 +51,15 @@
 
 
 class CallerDisconnected(Exception):
-    """The caller hung up: nobody waits for an answer any more, and nothing further is done for it."""
+    """The caller closed its connection, so its request is abandoned."""
 
 
 class Rejection(Exception):
-    """A request refused: nothing ran and nothing will."""
+    """A request that is rejected: nothing of it ran or will run."""
 
     def __init__(self, status: int, reason: str, retry_after_s: float = 0, cause: str = "other") -> None:
         super().__init__(reason)
-        self.cause = cause  # for the metrics: why service was refused
+        self.cause = cause  # reason label in the metrics
         self.status = status
         self.reason = reason
         self.retry_after_s = retry_after_s
