--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -1,8 +1,9 @@
-"""A router's permits: one for each request of a tenant that has a limit, from the leader of the tenant's part.
+"""A router's permits, one for each request of a tenant that has a limit, granted by the leader of the tenant's part.
 
-All requests that wait here for permits of one part are asked for in one record, one ask at a time. A permit that is
-granted goes to a request that came before its ask was sent, never to a later one: docs/shared.md says why the limit
-leans on that. Until a tenant's next token is there, further requests of it are refused without asking.
+All requests that wait for permits of one part are counted in one record, with one such permit request pending at a
+time. A granted permit goes to a request that arrived before the permit request was sent, never to a later one:
+docs/shared.md explains why the limit depends on that. Until a tenant's next token, its further requests are rejected
+without a permit request.
 """
 
 import collections
@@ -23,48 +24,48 @@
     """A request that waits for a permit."""
 
     event: typing.Any
-    first_mark: int | None = None  # of the first ask that counts it
+    first_request: int | None = None  # mark of the first permit request that counts it
     granted: bool = False
-    retry_s: float | None = None  # refused: seconds until the tenant's next token
+    retry_s: float | None = None  # if rejected: seconds until the tenant's next token
 
 
 @dataclasses.dataclass
-class PartAsks:
-    """What waits for permits of one part."""
+class PartRequests:
+    """The requests that wait for permits of one part."""
 
     waiting: dict[str, collections.deque[Waiter]] = dataclasses.field(default_factory=dict)  # by tenant
-    asked_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> when
-    unanswered: int | None = None  # mark of the ask under way
-    answer_s: float = 0.0  # how long answers take: the longest lately
+    sent_at: dict[int, float] = dataclasses.field(default_factory=dict)  # mark -> time
+    pending_request: int | None = None  # mark of the permit request that awaits its answer
+    answer_s: float = 0.0  # the longest recent time to an answer; decays
 
     def note_answer(self, took_s: float) -> None:
-        """An answer took this long."""
+        """Record how long an answer took."""
         self.answer_s = max(took_s, self.answer_s * constants.PERMIT_LATENCY_DECAY_RATIO)
 
-    def again_s(self) -> float:
-        """After how long an ask is made anew. Sooner than answers come, requests would be counted twice."""
-        usual_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
-        return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, usual_s))
+    def retry_delay_s(self) -> float:
+        """Return when to repeat a permit request; before its answer can arrive, requests would be counted twice."""
+        expected_s = constants.PERMIT_RETRY_LATENCY_RATIO * self.answer_s
+        return min(constants.MAX_PERMIT_RETRY_S, max(constants.MIN_PERMIT_RETRY_S, expected_s))
 
 
 @dataclasses.dataclass(frozen=True)
 class NextToken:
-    """When a tenant that was refused has its next token, by the leader's document of this sequence."""
+    """When a rejected tenant gets its next token, by the leader's document of this sequence."""
 
     sequence: int
     at: float
 
 
 class Permits:
-    """Asks for permits and hands them to the requests that wait."""
+    """Requests permits and assigns them to the waiting requests."""
 
     def __init__(self, environment: typing.Any, leaders: leaders_module.Leaders, journal: typing.Any) -> None:
         self.environment, self.leaders, self.journal = environment, leaders, journal
         self.lock = threading.RLock()
-        self.parts = {part: PartAsks() for part in range(1, constants.PART_COUNT)}
+        self.parts = {part: PartRequests() for part in range(1, constants.PART_COUNT)}
         self.next_tokens: dict[str, NextToken] = {}
         self.sequence = 0
-        self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # no life before used the same
+        self.mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)  # differs from all marks before a restart
         for part in self.parts:
             environment.subscribe("permits", self.on_permits, part)
         leaders.listeners.append(self.leader_changed)
@@ -72,9 +73,9 @@
     def take(
         self, tenant: str, row: dict[str, typing.Any], sequence: int, until: float, caller: typing.Any = None
     ) -> None:
-        """Take a permit for one request, waiting until then for it at most.
+        """Take a permit for one request, waiting for it until the given time at most.
 
-        row: the tenant's in the document of this sequence. caller: whose leaving ends the wait.
+        row: the tenant's row in the document of this sequence. caller: the wait ends when it disconnects.
         Raises Rejection (429 over the limit, 503 if nobody answers) and CallerDisconnected.
         """
         if not row.get("rate_per_s"):
@@ -82,37 +83,37 @@
         self.refuse_before_next_token(tenant, sequence)
         waiter = Waiter(self.environment.new_event())
         try:
-            self.enter(tenant, sequence, waiter)
+            self.enqueue(tenant, sequence, waiter)
             self.wait(waiter, until, caller)
         finally:
-            self.forget(tenant, waiter)
+            self.dequeue(tenant, waiter)
         if waiter.granted:
             return
         if waiter.retry_s is not None:
-            raise over_limit(waiter.retry_s)
+            raise over_limit_rejection(waiter.retry_s)
         raise verdict.Rejection(503, "no permit", constants.PERMIT_RETRY_AFTER_S, "no_permit")
 
-    def enter(self, tenant: str, sequence: int, waiter: Waiter) -> None:
-        """Let one more request of a tenant wait for a permit, and ask for it unless an ask is under way."""
+    def enqueue(self, tenant: str, sequence: int, waiter: Waiter) -> None:
+        """Add a waiting request of a tenant, and request permits unless an answer is pending."""
         part = parts.part_of(tenant)
         with self.lock:
             self.sequence = max(self.sequence, sequence)
             self.parts[part].waiting.setdefault(tenant, collections.deque()).append(waiter)
-            if self.parts[part].unanswered is None:
-                self.ask(part)
+            if self.parts[part].pending_request is None:
+                self.send_request(part)
 
     def refuse_before_next_token(self, tenant: str, sequence: int) -> None:
-        """Raise Rejection (429) if the tenant was refused by this document and its next token is still to come."""
+        """Raise Rejection (429) if the tenant was rejected under this document and has no token yet."""
         known = self.next_tokens.get(tenant)
         if known is None:
             return
         wait_s = known.at - self.environment.now()
         if known.sequence == sequence and wait_s > 0:
-            raise over_limit(wait_s)
+            raise over_limit_rejection(wait_s)
         self.next_tokens.pop(tenant, None)
 
     def wait(self, waiter: Waiter, until: float, caller: typing.Any) -> None:
-        """Wait until the request has its answer, its time is over or its caller has left (CallerDisconnected)."""
+        """Wait for the answer until the given time; raise CallerDisconnected once the caller is gone."""
         while not waiter.granted and waiter.retry_s is None:
             left = until - self.environment.now()
             if left <= 0:
@@ -121,8 +122,8 @@
                 raise verdict.CallerDisconnected()
             waiter.event.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
-    def forget(self, tenant: str, waiter: Waiter) -> None:
-        """The request waits no more."""
+    def dequeue(self, tenant: str, waiter: Waiter) -> None:
+        """Remove a request that no longer waits."""
         with self.lock:
             waiting = self.parts[parts.part_of(tenant)].waiting
             rows = waiting.get(tenant)
@@ -131,67 +132,69 @@
             if rows is not None and not rows:
                 waiting.pop(tenant, None)
 
-    def ask(self, part: int) -> None:
-        """Ask for all that wait for permits of a part; under the lock."""
-        asks, now = self.parts[part], self.environment.now()
-        if not asks.waiting:
-            asks.unanswered = None
+    def send_request(self, part: int) -> None:
+        """Request permits for all waiting requests of a part. The caller holds the lock."""
+        requests, now = self.parts[part], self.environment.now()
+        if not requests.waiting:
+            requests.pending_request = None
             return
         self.mark += 1
-        asks.unanswered = self.mark
-        asks.asked_at[self.mark] = now
-        if len(asks.asked_at) > constants.MAX_PENDING_PERMIT_REQUESTS:
-            del asks.asked_at[min(asks.asked_at)]
-        for rows in asks.waiting.values():
+        requests.pending_request = self.mark
+        requests.sent_at[self.mark] = now
+        if len(requests.sent_at) > constants.MAX_PENDING_PERMIT_REQUESTS:
+            del requests.sent_at[min(requests.sent_at)]
+        for rows in requests.waiting.values():
             for waiter in rows:
-                waiter.first_mark = waiter.first_mark or self.mark
-        counts = {tenant: len(rows) for tenant, rows in asks.waiting.items()}
-        self.environment.call_later(asks.again_s(), lambda mark=self.mark: self.ask_again(part, mark))
-        goal = self.leaders.address_for(part)
-        self.environment.send(goal, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts)
-
-    def ask_again(self, part: int, mark: int) -> None:
-        """Nobody has answered an ask: it is made anew, perhaps elsewhere."""
+                waiter.first_request = waiter.first_request or self.mark
+        counts = {tenant: len(rows) for tenant, rows in requests.waiting.items()}
+        self.environment.call_later(requests.retry_delay_s(), lambda mark=self.mark: self.retry_request(part, mark))
+        destination = self.leaders.address_for(part)
+        self.environment.send(
+            destination, "permit_ask", part=part, mark=self.mark, sequence=self.sequence, counts=counts
+        )
+
+    def retry_request(self, part: int, mark: int) -> None:
+        """Repeat a permit request that has no answer yet, possibly to another keeper."""
         with self.lock:
-            if self.parts[part].unanswered == mark:
+            if self.parts[part].pending_request == mark:
                 self.journal.add("permit", outcome="unanswered")
-                self.ask(part)
+                self.send_request(part)
 
     def leader_changed(self, part: int) -> None:
-        """Somebody was named as a part's leader."""
+        """Repeat the pending permit request at a newly named leader."""
         with self.lock:
-            if part in self.parts and self.parts[part].unanswered is not None:
-                self.ask(part)
+            if part in self.parts and self.parts[part].pending_request is not None:
+                self.send_request(part)
 
     def on_permits(self, sender: str, body: Body) -> None:
-        """The leader's answer."""
+        """Assign the grants in the leader's answer."""
         part, mark = body["part"], body["mark"]
         self.leaders.note_response(part, sender)
         with self.lock:
-            asks = self.parts[part]
-            asked_at = asks.asked_at.pop(mark, None)
-            if asked_at is None:
+            requests = self.parts[part]
+            sent_at = requests.sent_at.pop(mark, None)
+            if sent_at is None:
                 return
-            asks.note_answer(self.environment.now() - asked_at)
+            requests.note_answer(self.environment.now() - sent_at)
             for tenant, (count, wait_s) in body["grants"].items():
-                self.hand_out(asks, tenant, mark, count, wait_s)
+                self.assign_grants(requests, tenant, mark, count, wait_s)
                 if wait_s > 0:
-                    self.next_tokens[tenant] = NextToken(body["sequence"], asked_at + wait_s)
-            if asks.unanswered == mark:
-                self.ask_or_pause(part)
-
-    def ask_or_pause(self, part: int) -> None:
-        """Ask for what came meanwhile; what the leader could not answer yet waits for the next time. Under the lock."""
-        asks = self.parts[part]
-        if any(waiter.first_mark is None for rows in asks.waiting.values() for waiter in rows):
-            self.ask(part)
-        elif not asks.waiting:
-            asks.unanswered = None
-
-    def hand_out(self, asks: PartAsks, tenant: str, mark: int, count: int, wait_s: float) -> None:
-        """Give grants to those that an ask counted, and refuse the others of them if the bucket is empty."""
-        for waiter in list(asks.waiting.get(tenant, ())):
-            if waiter.first_mark is None or waiter.first_mark > mark:
+                    self.next_tokens[tenant] = NextToken(body["sequence"], sent_at + wait_s)
+            if requests.pending_request == mark:
+                self.request_or_pause(part)
+
+    def request_or_pause(self, part: int) -> None:
+        """Request permits for requests that arrived meanwhile; what got no answer waits. The caller holds the lock."""
+        requests = self.parts[part]
+        if any(waiter.first_request is None for rows in requests.waiting.values() for waiter in rows):
+            self.send_request(part)
+        elif not requests.waiting:
+            requests.pending_request = None
+
+    def assign_grants(self, requests: PartRequests, tenant: str, mark: int, count: int, wait_s: float) -> None:
+        """Grant the requests that the permit request counted; reject the rest of them if the bucket is empty."""
+        for waiter in list(requests.waiting.get(tenant, ())):
+            if waiter.first_request is None or waiter.first_request > mark:
                 continue
             if count > 0:
                 count -= 1
@@ -200,13 +203,13 @@
                 waiter.retry_s = wait_s
             else:
                 continue
-            asks.waiting[tenant].remove(waiter)
+            requests.waiting[tenant].remove(waiter)
             waiter.event.set()
-        if not asks.waiting.get(tenant, True):
-            del asks.waiting[tenant]
+        if not requests.waiting.get(tenant, True):
+            del requests.waiting[tenant]
 
 
-def over_limit(retry_s: float) -> verdict.Rejection:
-    """The refusal of a request beyond its tenant's limit."""
+def over_limit_rejection(retry_s: float) -> verdict.Rejection:
+    """Return the rejection of a request beyond its tenant's limit."""
     retry_s = max(constants.MIN_PERMIT_RETRY_AFTER_S, round(retry_s, 3))
     return verdict.Rejection(429, "the tenant's limit is reached", retry_s, "over_limit")
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -58,7 +58,7 @@
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placing)
+            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placing)
         self.backup_releases = backup_releases.BackupReleases(
             environment, self.gossip, self.handle_releases, self.journal
         )
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -1,12 +1,11 @@
-"""What a process knows of the replicas: the list, and conditions that age.
-
-Conditions come from own probes and from hints of neighbours; the younger one
-counts. A replica takes nothing new while the own reading of the list shows it
-leaving, and while a neighbour's reading did so that is no more than LEAVING_MARK_TTL_S
-older than the own one: lists lag, so an own reading that still shows it ready
-proves nothing. A process that woke from a sleep places nothing before it has
-asked the list again. Usage is estimated as what others had there at the last report plus
-what this process has there now, so that a stale report does not hide own sends.
+"""What a process knows of the replicas: the platform's list, and conditions that expire.
+
+Conditions come from this process's probes and from hints of neighbours; the more recent one counts. A replica gets no
+new requests while the list as read here shows it leaving, nor while a neighbour's reading does that is at most
+LEAVING_MARK_TTL_S older than the own one: lists lag, so one that still shows the replica ready proves nothing. A
+process that was suspended places nothing until it has asked for the list again. Load is estimated as what others had
+on a replica at its last report plus what this process has there now, so that an old report doesn't hide this process's
+own requests.
 """
 
 import dataclasses
@@ -21,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """A replica as a goal of a send."""
+    """A replica as the destination of a send."""
 
     name: str
     url: str
@@ -30,7 +29,7 @@
 
 
 def selects(selector: dict[str, str], labels: dict[str, str]) -> bool:
-    """Whether a pool's selector fits a replica's labels.
+    """Return whether a pool's selector matches a replica's labels.
 
     >>> selects({"service": "a"}, {"service": "a", "zone": "z"}), selects({"service": "a"}, {"service": "b"})
     (True, False)
@@ -39,18 +38,20 @@
 
 
 class Replicas:
+    """The replicas of the platform's list and their conditions, by name."""
+
     def __init__(self, environment, list_url, journal):
         self.environment, self.list_url, self.journal = environment, list_url, journal
         self.rows = {}  # name -> row of the platform's list
-        self.conditions = {}  # name -> {"at", "own", "c"}
-        self.leaving_marks = {}  # name -> when a neighbour's list showed it leaving
-        self.own_requests = {}  # name -> sends of ours running there
-        self.suspected_until = {}  # name -> until when a failed connect keeps us away
+        self.conditions = {}  # name -> {"at": time, "own": own requests then, "c": condition}
+        self.leaving_marks = {}  # name -> when a neighbour's list showed the replica leaving
+        self.own_requests = {}  # name -> requests of this process running there
+        self.suspected_until = {}  # name -> until when it is excluded after a failure
         self.lock = threading.RLock()
-        self.router_count = lambda: 1  # how many routers place upon the same replicas
-        self.probing, self.failed_probes = set(), {}  # under way / failed in a row
-        self.list_read_at = -1e9  # last reading of the list
-        self.list_attempted_at = -1e9  # last time it was asked, answered or not
+        self.router_count = lambda: 1  # number of routers that use the same replicas
+        self.probing, self.failed_probes = set(), {}  # names being probed; name -> consecutive failures
+        self.list_read_at = -1e9  # when the list was last read
+        self.list_attempted_at = -1e9  # when it was last requested, successfully or not
 
     def run(self):
         self.environment.spawn(self.poll_list)
@@ -76,7 +77,7 @@
                 del self.conditions[name]
 
     def leaving(self):
-        """Names not to be placed upon: shown leaving here, or to a neighbour about as lately."""
+        """Return the replicas that get no new requests: leaving by this list, or by a neighbour's of about that age."""
         with self.lock:
             own = {n for n, row in self.rows.items() if row["leaving"]}
             return own | {
@@ -87,8 +88,8 @@
         while True:
             now = self.environment.now()
             for name, row in list(self.rows.items()):
-                seen = self.conditions.get(name)
-                if name not in self.probing and (not seen or now - seen["at"] > constants.PROBE_INTERVAL_S * 0.8):
+                known = self.conditions.get(name)
+                if name not in self.probing and (not known or now - known["at"] > constants.PROBE_INTERVAL_S * 0.8):
                     self.probing.add(name)
                     self.environment.spawn(lambda name=name, url=row["url"]: self.probe(name, url))
             self.environment.sleep(constants.PROBE_INTERVAL_S / 2)
@@ -106,11 +107,11 @@
         finally:
             self.probing.discard(name)
 
-    def update_condition(self, name, at, own, said):
+    def update_condition(self, name, at, own, condition):
         with self.lock:
-            seen = self.conditions.get(name)
-            if name in self.rows and (not seen or seen["at"] < at):
-                self.conditions[name] = {"at": at, "own": own, "c": said}
+            known = self.conditions.get(name)
+            if name in self.rows and (not known or known["at"] < at):
+                self.conditions[name] = {"at": at, "own": own, "c": condition}
 
     def leaving_hints(self):
         now = self.environment.now()
@@ -126,8 +127,8 @@
             ]
 
     def hints(self):
-        """Who is leaving first, then conditions in any order, since a record may hold only some."""
-        now, gone = self.environment.now(), self.leaving_hints()
+        """Return leaving replicas first, then conditions in random order, since a record may hold only some."""
+        now, leaving = self.environment.now(), self.leaving_hints()
         with self.lock:
             rows = [
                 {"replica": n, "age": round(now - s["at"], 3), "c": s["c"]}
@@ -135,7 +136,7 @@
                 if now - s["at"] < constants.HINT_TTL_S
             ]
         self.environment.random.shuffle(rows)
-        return gone + rows
+        return leaving + rows
 
     def apply_hint(self, hint):
         at = self.environment.now() - max(0.0, hint["age"])
@@ -150,50 +151,50 @@
         self.suspected_until[name] = self.environment.now() + duration_s
 
     def usable(self, selector, role=None):
-        """name -> condition of the listed, staying, lately heard replicas under a selector."""
+        """Return by name the condition of the replicas a selector matches that are listed, staying and up to date."""
         now, found = self.environment.now(), {}
         if now - self.list_attempted_at > constants.LIST_ATTEMPT_MAX_AGE_S:
             return found
         with self.lock:
             leaving = self.leaving()
             for name, row in self.rows.items():
-                seen = self.conditions.get(name)
+                known = self.conditions.get(name)
                 if (
                     name in leaving
-                    or not seen
-                    or now - seen["at"] > constants.REPLICA_STATUS_TTL_S
+                    or not known
+                    or now - known["at"] > constants.REPLICA_STATUS_TTL_S
                     or self.suspected_until.get(name, 0) > now
                     or role
-                    and seen["c"]["role"] != role
+                    and known["c"]["role"] != role
                 ):
                     continue
                 if selects(selector, row["labels"]):
-                    found[name] = seen["c"]
+                    found[name] = known["c"]
             return found
 
     def estimated_load(self, name):
-        """Estimated requests at a replica, waiting ones included."""
-        seen = self.conditions[name]
-        others = max(0, seen["c"]["run"] + seen["c"]["wait"] - seen["own"])
+        """Return the estimated number of requests at a replica, including waiting ones."""
+        known = self.conditions[name]
+        others = max(0, known["c"]["run"] + known["c"]["wait"] - known["own"])
         return others + self.own_requests.get(name, 0)
 
     def has_room(self, name):
-        """Whether one more of ours fits there.
+        """Return whether the replica can take one more request of this process.
 
-        Between two reports a router takes no more than its share of the free places
-        the last report showed; what others took since is not known to it. A share
-        below one place is drawn once per report.
+        Between two reports a router uses no more than its share of the slots that were free in the last report,
+        since it doesn't know what other routers have used since. A share below one slot is drawn at random once
+        per report.
         """
-        seen = self.conditions[name]
-        c = seen["c"]
+        known = self.conditions[name]
+        c = known["c"]
         free = max(0, c["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - c["run"] - c["wait"])
-        if "share" not in seen:
+        if "share" not in known:
             share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.router_count())
-            seen["share"] = int(share) + (self.environment.random.random() < share % 1)
-        return self.own_requests.get(name, 0) - seen["own"] < min(seen["share"], free)
+            known["share"] = int(share) + (self.environment.random.random() < share % 1)
+        return self.own_requests.get(name, 0) - known["own"] < min(known["share"], free)
 
     def mark_full(self, name):
-        """It bounced us: nothing more of ours goes there until it reports again."""
+        """Send nothing more to a replica that rejected a request until it reports again."""
         with self.lock:
             if name in self.conditions:
                 self.conditions[name]["share"] = -math.inf
