--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -47,7 +47,7 @@
         self.permitted = None  # the tenant of whom this request has a permit
         self.times = stage_times.StageTimes(self.environment.now)
         self.event_at = None  # when the last event came from the replica that sends now
-        self.pauses = pauses_module.Pauses(self.environment.now, self.route.get("pause_s"))
+        self.pauses = pauses_module.PauseMonitor(self.environment.now, self.route.get("pause_s"))
 
     def left(self):
         left = self.ask.cutoff - self.environment.now()
@@ -118,16 +118,16 @@
 
     def once(self):
         alone = self.prefills > 1 or (self.prefills == 1 and not self.reader_left())
-        with self.times.stage(Stage.PLACE):
+        with self.times.measure(Stage.PLACEMENT):
             pair = self.pair = self.take_place(alone)
         if pair.reader:
-            with self.times.stage(Stage.READING):
+            with self.times.measure(Stage.PREFILL):
                 self.handle = self.prefill(pair)
-            with self.times.stage(Stage.LEASE):
+            with self.times.measure(Stage.LEASE):
                 self.wait_for_lease()
             self.keep_writer()
         self.may_send("decode")
-        with self.times.stage(Stage.FIRST_EVENT):
+        with self.times.measure(Stage.FIRST_EVENT):
             begun = self.decode(pair)
         self.note_late()
         return begun
@@ -170,7 +170,7 @@
         reply, name = self.reply, pair.writer.name
         if reply.status >= 500:  # its own failure: it ran
             self.own = reply, self.whole(reply, name)
-            self.router.placing.outcomes.failed(name)
+            self.router.placing.outcomes.record_failed(name)
             raise verdict.SendFailure(verdict.Verdict.RAN, f"status {reply.status}", name)
         self.own = None
         try:
@@ -188,7 +188,7 @@
             self.router.frees.order(self.handle)
             self.handle = None
         self.router.replicas.served(name)
-        self.router.placing.outcomes.answered(name)
+        self.router.placing.outcomes.record_answered(name)
         if self.ask.parts:
             self.router.placing.parts.add(name, self.ask.parts)
         self.event_at = self.environment.now()
@@ -198,7 +198,7 @@
         """The events as they come; what breaks is taken up elsewhere where that is allowed."""
         reply, first, number, rows = begun
         self.last = number or self.last
-        with self.pauses.watch(pauses_module.Cause.CALLER):
+        with self.pauses.watch(pauses_module.PauseCause.CALLER):
             yield first
         while True:
             try:
@@ -219,7 +219,7 @@
                     span = min(span, constants.NEXT_EVENT_TIMEOUT_S)
                 self.reply.patience(span)
             try:
-                with self.pauses.watch(pauses_module.Cause.REPLICA):
+                with self.pauses.watch(pauses_module.PauseCause.REPLICA):
                     event, number = next(rows)
             except StopIteration:
                 return
@@ -228,7 +228,7 @@
                 if self.last is not None and number <= self.last:
                     raise verdict.StreamBroken("an event came twice")
                 self.last = number
-            with self.pauses.watch(pauses_module.Cause.CALLER):
+            with self.pauses.watch(pauses_module.PauseCause.CALLER):
                 yield event
 
     def take_up(self):
--- a/mothshed/data_plane/place_wait.py
+++ b/mothshed/data_plane/place_wait.py
@@ -91,5 +91,5 @@
 
     def note_pauses(self) -> None:
         """Count a stream that stood still for longer than its route allows, by where it did."""
-        for cause in self.pauses.found:
+        for cause in self.pauses.causes:
             self.router.journal.add("late", outcome=cause.value, request=self.ask.id)
--- a/mothshed/data_plane/placing.py
+++ b/mothshed/data_plane/placing.py
@@ -154,13 +154,13 @@
     def not_failing(self, names: list[str]) -> list[str]:
         """These replicas of one pool without those that fail far more requests than the others."""
         ended = {name: self.ended(name) for name in names}
-        failing = outcomes.failing(ended)
+        failing = outcomes.failing_replicas(ended)
         return [name for name in names if name not in failing]
 
-    def ended(self, name: str) -> outcomes.Ended:
+    def ended(self, name: str) -> outcomes.OutcomeCounts:
         """How requests ended at a replica lately, over all routers as far as is known."""
-        others = (outcomes.Ended(load.answered, load.failed) for load in self.reported(name))
-        return sum(others, self.outcomes.of(name))
+        others = (outcomes.OutcomeCounts(load.answered, load.failed) for load in self.reported(name))
+        return sum(others, self.outcomes.counts_of(name))
 
     def admit(self, ask: Ask, name: str, pace: float, unread: float, writers: list[str]) -> None:
         """Raises Full if a prompt that joined the queue now would come to its aim too late."""
--- a/mothshed/data_plane/stage_times.py
+++ b/mothshed/data_plane/stage_times.py
@@ -9,8 +9,8 @@
     """The waits on the way to a request's first event."""
 
     LEASE = "lease"  # of the configuration
-    PLACE = "place"  # a replica, or a pair of them, that takes it
-    READING = "reading"  # the prefill of its prompt, queue and connection included
+    PLACEMENT = "place"  # a replica, or a pair of them, that takes it
+    PREFILL = "reading"  # the prefill of its prompt, queue and connection included
     FIRST_EVENT = "first_event"  # from the decode's connection to its first event: the move of memory, and steps
 
 
@@ -19,17 +19,17 @@
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
         self.now = now
-        self.spent: dict[Stage, float] = {}
+        self.durations: dict[Stage, float] = {}
 
     @contextlib.contextmanager
-    def stage(self, stage: Stage) -> collections.abc.Iterator[None]:
+    def measure(self, stage: Stage) -> collections.abc.Iterator[None]:
         """Count what passes within the block for a stage, however it ends."""
-        began = self.now()
+        started_at = self.now()
         try:
             yield
         finally:
-            self.spent[stage] = self.spent.get(stage, 0.0) + self.now() - began
+            self.durations[stage] = self.durations.get(stage, 0.0) + self.now() - started_at
 
     def longest(self) -> Stage | None:
         """The stage that took longest; None if none was entered."""
-        return max(self.spent, key=lambda stage: self.spent[stage], default=None)
+        return max(self.durations, key=lambda stage: self.durations[stage], default=None)
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -27,7 +27,7 @@
             for name, row in self.replicas.rows.items():
                 part = found.setdefault(parts.part_of(row["service"]), {})
                 out = max(0.0, self.replicas.doubts.get(name, 0) - now) if name in self.replicas.fails else 0.0
-                ended = self.placing.outcomes.of(name)
+                ended = self.placing.outcomes.counts_of(name)
                 own = replica_load.ReplicaLoad(
                     self.replicas.mine.get(name, 0),
                     out,
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -10,50 +10,55 @@
 import tests.test_delivery_placing as test_delivery_placing
 
 STEADY = hypothesis.settings(derandomize=True, max_examples=300, deadline=None, database=None)
-Ended = outcomes.Ended
+Counts = outcomes.OutcomeCounts
 
 
 @pytest.mark.parametrize(
-    "ended, left_out",
+    "counts_by_replica, left_out",
     [
-        ({"a": Ended(0, 5), "b": Ended(5, 0)}, ["a"]),
-        ({"a": Ended(0, 2), "b": Ended(5, 0)}, []),  # too few to prove anything
-        ({"a": Ended(0, 5)}, []),  # there is no other
-        ({"a": Ended(0, 5), "b": Ended(0, 0)}, ["a"]),
-        ({"a": Ended(11, 9), "b": Ended(20, 0), "c": Ended(20, 0)}, ["a"]),  # fails less than half of them
-        ({"a": Ended(100, 4), "b": Ended(100, 0), "c": Ended(100, 1)}, []),  # a few fail in good health
-        ({n: Ended(1, 9) for n in "abcd"}, []),  # all alike: not the replicas
-        ({"a": Ended(0, 9), "b": Ended(0, 9), "c": Ended(50, 0), "d": Ended(50, 0)}, ["a", "b"]),
+        ({"a": Counts(0, 5), "b": Counts(5, 0)}, ["a"]),
+        ({"a": Counts(0, 2), "b": Counts(5, 0)}, []),  # too few to prove anything
+        ({"a": Counts(0, 5)}, []),  # there is no other
+        ({"a": Counts(0, 5), "b": Counts(0, 0)}, ["a"]),
+        ({"a": Counts(11, 9), "b": Counts(20, 0), "c": Counts(20, 0)}, ["a"]),  # fails less than half of them
+        ({"a": Counts(100, 4), "b": Counts(100, 0), "c": Counts(100, 1)}, []),  # a few fail in good health
+        ({n: Counts(1, 9) for n in "abcd"}, []),  # all alike: not the replicas
+        (
+            {"a": Counts(0, 9), "b": Counts(0, 9), "c": Counts(50, 0), "d": Counts(50, 0)},
+            ["a", "b"],
+        ),
     ],
 )
-def test_who_fails_far_more_than_the_others_of_its_pool(ended, left_out):
-    assert sorted(outcomes.failing(ended)) == left_out
+def test_who_fails_far_more_than_the_others_of_its_pool(counts_by_replica, left_out):
+    assert sorted(outcomes.failing_replicas(counts_by_replica)) == left_out
 
 
-ENDED = strategies.builds(Ended, strategies.floats(0, 1000), strategies.floats(0, 1000))
+COUNTS = strategies.builds(Counts, strategies.floats(0, 1000), strategies.floats(0, 1000))
 
 
 @STEADY
-@hypothesis.given(strategies.dictionaries(strategies.text(max_size=2), ENDED, max_size=9))
-def test_at_most_half_of_a_pool_is_left_out_whatever_the_counts(ended):
-    found = outcomes.failing(ended)
-    assert len(found) <= len(ended) // 2 and set(found) <= set(ended)
-    assert all(ended[name].failed >= constants.MIN_FAILED_REQUESTS for name in found)
+@hypothesis.given(strategies.dictionaries(strategies.text(max_size=2), COUNTS, max_size=9))
+def test_at_most_half_of_a_pool_is_left_out_whatever_the_counts(counts_by_replica):
+    found = outcomes.failing_replicas(counts_by_replica)
+    assert len(found) <= len(counts_by_replica) // 2 and set(found) <= set(counts_by_replica)
+    assert all(counts_by_replica[name].failed >= constants.MIN_FAILED_REQUESTS for name in found)
 
 
 def test_counts_fade_so_that_a_replica_left_out_is_tried_again():
     clock = [100.0]
     counts = outcomes.Outcomes(lambda: clock[0])
     for _ in range(8):
-        counts.failed("a")
-        counts.answered("b")
-    assert outcomes.failing({n: counts.of(n) for n in "ab"}) == ["a"]
+        counts.record_failed("a")
+        counts.record_answered("b")
+    assert outcomes.failing_replicas({n: counts.counts_of(n) for n in "ab"}) == ["a"]
     clock[0] += 2 * constants.OUTCOME_HALF_LIFE_S
-    assert counts.of("a").failed == pytest.approx(2.0)
-    assert outcomes.failing({n: counts.of(n) for n in "ab"}) == []
+    assert counts.counts_of("a").failed == pytest.approx(2.0)
+    assert outcomes.failing_replicas({n: counts.counts_of(n) for n in "ab"}) == []
     clock[0] += 2 * constants.MAX_HALF_LIVES * constants.OUTCOME_HALF_LIFE_S
-    counts.answered("c")
-    assert counts.of("a").failed < 1e-9 and set(counts.counts.sums) == {"c"}  # and what has faded away is forgotten
+    counts.record_answered("c")
+    assert counts.counts_of("a").failed < 1e-9 and set(counts.counts.sums) == {
+        "c"
+    }  # and what has faded away is forgotten
 
 
 def test_what_other_routers_saw_fail_counts_here_too():
