--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/delivery.py
@@ -15,9 +15,9 @@
 import mothshed.constants as constants
 import mothshed.data_plane.delivery_sends as delivery_sends
 import mothshed.data_plane.identity as identity
-import mothshed.data_plane.pair as pair_module
 import mothshed.data_plane.pauses as pauses_module
-import mothshed.data_plane.place_wait as place_wait
+import mothshed.data_plane.placement_wait as placement_wait
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.data_plane.routes as routes
 import mothshed.data_plane.stage_times as stage_times
 import mothshed.http.events as events
@@ -28,7 +28,7 @@
 Stage = stage_times.Stage
 
 
-class Deliver(delivery_sends.DeliverySends, place_wait.PlaceWait):
+class Delivery(delivery_sends.DeliverySends, placement_wait.PlacementWait):
     def __init__(self, router, ask):
         self.router, self.environment, self.ask, self.speech = router, router.environment, ask, router.speech
         self.route = ask.route
@@ -88,7 +88,7 @@
             self.note_caller("worked_after_caller_left", "decode")
             self.reply.close()
         if self.pair:
-            self.router.placing.read(self.pair)
+            self.router.placement.read(self.pair)
             self.router.replicas.end(self.pair.writer.name)
         self.handle = self.reply = self.pair = None
 
@@ -132,7 +132,7 @@
         self.note_late()
         return begun
 
-    def decode(self, pair: pair_module.Pair) -> tuple[typing.Any, ...]:
+    def decode(self, pair: replica_pair.ReplicaPair) -> tuple[typing.Any, ...]:
         """The answer of a pair's writer, begun: its reply, first event, that one's id, and the rest."""
         try:
             self.reply = self.send_decode(pair)
@@ -144,7 +144,7 @@
             self.reply = self.send_decode(pair)
         return self.begun(pair)
 
-    def send_decode(self, pair: pair_module.Pair) -> typing.Any:
+    def send_decode(self, pair: replica_pair.ReplicaPair) -> typing.Any:
         """The reply of a pair's writer; raises SendFailure."""
         try:
             return self.speech.decode(
@@ -170,7 +170,7 @@
         reply, name = self.reply, pair.writer.name
         if reply.status >= 500:  # its own failure: it ran
             self.own = reply, self.whole(reply, name)
-            self.router.placing.outcomes.record_failed(name)
+            self.router.placement.outcomes.record_failed(name)
             raise verdict.SendFailure(verdict.Verdict.RAN, f"status {reply.status}", name)
         self.own = None
         try:
@@ -183,14 +183,14 @@
             self.stop_if_caller_left()
             self.judge(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)), pair.writer)
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), name) from e
-        self.router.placing.read(pair)
+        self.router.placement.read(pair)
         if self.handle:  # the pull is done
             self.router.frees.order(self.handle)
             self.handle = None
         self.router.replicas.served(name)
-        self.router.placing.outcomes.record_answered(name)
+        self.router.placement.outcomes.record_answered(name)
         if self.ask.parts:
-            self.router.placing.parts.add(name, self.ask.parts)
+            self.router.placement.parts.add(name, self.ask.parts)
         self.event_at = self.environment.now()
         return reply, first, number, rows
 
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.identity as identity
-import mothshed.data_plane.pair as pair_module
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.data_plane.routes as routes
 import mothshed.http.web as web
 import mothshed.replicas.verdict as verdict
@@ -16,7 +16,7 @@
 
 
 class DeliverySends:
-    """The part of Deliver that talks to replicas."""
+    """The part of Delivery that talks to replicas."""
 
     def check(self, role):
         """The last check before a send: the same lease still runs, the replica stays, and the caller still waits."""
@@ -61,7 +61,7 @@
         """Another writer for the handle when the pair's began to leave while the prompt was read."""
         pair = self.pair
         if not self.staying(pair.writer):
-            self.router.placing.change_writer(pair, self.selector, self.without)
+            self.router.placement.change_writer(pair, self.selector, self.without)
 
     def plan_is_current(self) -> bool:
         """Whether a lease runs under which this request still goes to the pool of its pair, and from the same tenant.
@@ -144,12 +144,12 @@
                     self.counted += 1  # a first prefill that nobody took up counts after all
                     self.shed += e.rejected
                 self.judge(e, pair.reader)
-                self.router.placing.parts.forget(name)
+                self.router.placement.parts.forget(name)
             return None
         finally:
-            self.router.placing.read(pair)
-        self.router.placing.parts.add(name, self.ask.parts)
-        self.router.placing.measured(name, unread, pair.queued, self.environment.now() - began)
+            self.router.placement.read(pair)
+        self.router.placement.parts.add(name, self.ask.parts)
+        self.router.placement.measured(name, unread, pair.queued, self.environment.now() - began)
         self.router.replicas.served(name)
         return handle
 
@@ -164,7 +164,7 @@
             return min(self.left(), constants.FIRST_EVENT_TIMEOUT_S + 2 * reading)
         return self.left()
 
-    def may_read_itself(self, e: verdict.SendFailure, pair: pair_module.Pair) -> bool:
+    def may_read_itself(self, e: verdict.SendFailure, pair: replica_pair.ReplicaPair) -> bool:
         """Whether a writer that turned a handle away may be sent the prompt instead, to read it by itself.
 
         It proved that nothing ran, and it was not full as far as is known: then the memory could not be had,
@@ -172,7 +172,7 @@
         """
         if not (self.handle and e.rejected and e.verdict is NOT_RUN):
             return False
-        room = self.router.placing.running(pair.writer.name) <= self.router.replicas.rows[pair.writer.name]["slots"]
+        room = self.router.placement.running(pair.writer.name) <= self.router.replicas.rows[pair.writer.name]["slots"]
         return room and self.staying(pair.writer) and self.router.budget.extra()
 
     def drop_handle(self, e: verdict.SendFailure) -> None:
--- a/mothshed/data_plane/placing.py
+++ b/mothshed/data_plane/placement.py
@@ -15,24 +15,24 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.outcomes as outcomes
-import mothshed.data_plane.pair as pair_module
-import mothshed.data_plane.prompt_parts as prompt_parts
+import mothshed.data_plane.prefix_cache as prefix_cache
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.replicas.pools as pools
 import mothshed.replicas.replica_load as replica_load
 import mothshed.runtime.fading as fading
 
-Ask = typing.Any  # a delivered request as the route's front read it
+Request = typing.Any  # a delivered request as the route's front read it
 Document = dict[str, typing.Any]  # a configuration
-Reading = tuple[str, int, float]  # the replica, tokens it has to read, s until it has read them
+PrefillChoice = tuple[str, int, float]  # the replica, tokens it has to read, s until it has read them
 
 
-class Placing:
+class Placement:
     """One router's choice of readers and writers, and what it knows to be under way at each replica."""
 
     def __init__(self, environment: typing.Any, replicas: typing.Any, zone: str) -> None:
         self.environment, self.replicas, self.zone = environment, replicas, zone
         self.lock = threading.RLock()
-        self.parts = prompt_parts.Parts()
+        self.parts = prefix_cache.PrefixCacheIndex()
         # name -> tokens this router has it read, by rank
         self.reading: dict[str, list[float]] = collections.defaultdict(lambda: [0] * constants.PREFILL_RANK_COUNT)
         # part -> (when reported, what all other routers have at its replicas)
@@ -80,23 +80,23 @@
             pace = min(max(pace, constants.PREFILL_TOKENS_PER_S / 4), constants.PREFILL_TOKENS_PER_S * 1.25)
             self.paces[name] = 0.8 * self.pace(name) + 0.2 * pace
 
-    def unread(self, name: str, ask: Ask, home: str | None) -> int:
+    def unread(self, name: str, ask: Request, home: str | None) -> int:
         """Tokens of a prompt that a replica has to read: all but the parts that it keeps, or its home is to keep."""
         held = self.parts.held(name, ask.parts)
         if name == home:
             held = max(held, sum(tokens for _key, tokens in ask.parts[:-1]))
         return int(max(0, ask.tokens - held))
 
-    def home(self, names: list[str], ask: Ask) -> str | None:
+    def home(self, names: list[str], ask: Request) -> str | None:
         """Where the prompt's shared parts belong; None if it has none."""
         shared = ask.parts[:-1]
-        return prompt_parts.home(shared[-1][0], names) if shared and names else None
+        return prefix_cache.home(shared[-1][0], names) if shared and names else None
 
     def far(self, name: str, zone: str) -> float:
         """Seconds by which a replica is dearer for not being in a zone."""
         return 0.0 if self.replicas.rows[name]["cell"] == zone else constants.CROSS_ZONE_COST_S
 
-    def reader(self, names: list[str], ask: Ask) -> Reading:
+    def reader(self, names: list[str], ask: Request) -> PrefillChoice:
         """The reader that would have read the prompt soonest."""
         home, rows = self.home(names, ask), []
         for name in names:
@@ -116,7 +116,7 @@
         tied = [name for name in running if running[name] <= fewest + 1 + fewest // 4]
         return min(tied, key=lambda name: (self.far(name, zone), running[name], self.environment.random.random()))
 
-    def alone(self, names: list[str], ask: Ask) -> tuple[str, float]:
+    def alone(self, names: list[str], ask: Request) -> tuple[str, float]:
         """The writer that would have read the prompt by itself soonest, and after how many seconds."""
         rows = []
         for name in names:
@@ -127,11 +127,11 @@
             )
         return min(rows)[1]
 
-    def by_itself(self, ask: Ask, handed: float, alone: float) -> bool:
+    def by_itself(self, ask: Request, handed: float, alone: float) -> bool:
         """Whether the writer shall read: a short prompt, and it is sooner."""
         return bool(ask.tokens <= constants.SHORT_PROMPT_TOKENS and alone < handed)
 
-    def rank(self, ask: Ask, alone: float) -> int:
+    def rank(self, ask: Request, alone: float) -> int:
         """Short readings first: they hold nobody up. Then those with little time to spare, then the rest."""
         if alone <= constants.SHORT_PREFILL_S:
             return 0
@@ -149,7 +149,7 @@
     def require_free_slot(self, names: list[str]) -> None:
         """Raises Full if every one of these replicas is known to have all its slots taken."""
         if not any(self.has_free_slot(name) for name in names):
-            raise pair_module.Full(constants.MIN_QUEUE_FULL_RETRY_AFTER_S)
+            raise replica_pair.QueueFull(constants.MIN_QUEUE_FULL_RETRY_AFTER_S)
 
     def not_failing(self, names: list[str]) -> list[str]:
         """These replicas of one pool without those that fail far more requests than the others."""
@@ -162,15 +162,15 @@
         others = (outcomes.OutcomeCounts(load.answered, load.failed) for load in self.reported(name))
         return sum(others, self.outcomes.counts_of(name))
 
-    def admit(self, ask: Ask, name: str, pace: float, unread: float, writers: list[str]) -> None:
+    def admit(self, ask: Request, name: str, pace: float, unread: float, writers: list[str]) -> None:
         """Raises Full if a prompt that joined the queue now would come to its aim too late."""
         self.require_free_slot(writers)
         wait = self.wait(name, pace, self.rank(ask, unread / pace))
         most = constants.ADMISSION_QUEUE_RATIO * ask.route.get("aim_s", constants.DEFAULT_AIM_S)
         if wait > most:
-            raise pair_module.Full(wait - most)
+            raise replica_pair.QueueFull(wait - most)
 
-    def admit_alone(self, ask: Ask, writer: str, writers: list[str]) -> None:
+    def admit_alone(self, ask: Request, writer: str, writers: list[str]) -> None:
         """Raises Full if a prompt that this writer read by itself would come to its aim too late."""
         self.admit(ask, writer, constants.DECODE_PREFILL_RATIO * constants.PREFILL_TOKENS_PER_S, ask.tokens, writers)
 
@@ -179,10 +179,10 @@
         sequence: int,
         document: Document,
         pool: str,
-        ask: Ask,
+        ask: Request,
         without: collections.abc.Container[str] = (),
         alone: bool = False,
-    ) -> pair_module.Pair | None:
+    ) -> replica_pair.ReplicaPair | None:
         """A Pair with both places taken, or None. alone: without a reader."""
         row = document["pools"][pool]
         with self.lock, self.replicas.lock:
@@ -209,7 +209,7 @@
             return self.take(sequence, pool, ask, reader, writer, unread, expected)
 
     def change_writer(
-        self, pair: pair_module.Pair, selector: dict[str, str], without: collections.abc.Container[str] = ()
+        self, pair: replica_pair.ReplicaPair, selector: dict[str, str], without: collections.abc.Container[str] = ()
     ) -> None:
         """Moves a pair with a reader to another usable writer of the pool that it was made for, if there is one."""
         with self.lock, self.replicas.lock:
@@ -223,8 +223,8 @@
             pair.writer = self.replicas.place(name)
 
     def take(
-        self, sequence: int, pool: str, ask: Ask, reader: str | None, writer: str, unread: int, expected: float
-    ) -> pair_module.Pair:
+        self, sequence: int, pool: str, ask: Request, reader: str | None, writer: str, unread: int, expected: float
+    ) -> replica_pair.ReplicaPair:
         """Take the places of a pair. expected: s until its prompt is read."""
         self.replicas.begin(writer)
         if reader:
@@ -234,11 +234,11 @@
         rank = self.rank(ask, unread / pace)
         self.reading[name][rank] += unread
         place = self.replicas.place
-        return pair_module.Pair(
+        return replica_pair.ReplicaPair(
             sequence, pool, place(reader) if reader else None, place(writer), unread, expected, queued, rank
         )
 
-    def read(self, pair: pair_module.Pair) -> None:
+    def read(self, pair: replica_pair.ReplicaPair) -> None:
         """The prompt of a pair is read, or its reading has ended some other way."""
         with self.lock:
             name = (pair.reader or pair.writer).name
--- a/mothshed/data_plane/place_wait.py
+++ b/mothshed/data_plane/placement_wait.py
@@ -4,30 +4,30 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.identity as identity
-import mothshed.data_plane.pair as pair_module
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.data_plane.routes as routes
 import mothshed.replicas.verdict as verdict
 
 
 @dataclasses.dataclass(frozen=True)
-class NoPlace:
+class PlacementFailure:
     """Why a request has no place now, and after how many seconds its caller may come again."""
 
     reason: str
     retry_after_s: float
 
 
-class PlaceWait:
-    """The part of Deliver that finds a pair of places."""
+class PlacementWait:
+    """The part of Delivery that finds a pair of places."""
 
-    def take_place(self, alone: bool) -> pair_module.Pair:
+    def take_place(self, alone: bool) -> replica_pair.ReplicaPair:
         """A pair of places; waits a little for one. Raises SendFailure if there is none, Rejection without a route."""
         until = min(self.ask.cutoff, self.environment.now() + self.ask.patience)
         while True:
             self.stop_if_caller_left()
             self.take_permit(until)
             found = self.try_place(alone)
-            if isinstance(found, pair_module.Pair):
+            if isinstance(found, replica_pair.ReplicaPair):
                 return found
             if self.environment.now() >= until:
                 self.retry = found.retry_after_s
@@ -52,11 +52,11 @@
         tenant = self.ask.identity.tenant if self.ask.identity else None
         return tenant is not None and tenant != self.permitted and not self.decodes
 
-    def try_place(self, alone: bool) -> pair_module.Pair | NoPlace:
+    def try_place(self, alone: bool) -> replica_pair.ReplicaPair | PlacementFailure:
         """A pair of places under the lease that runs now, if any; raises Rejection without a route or a known key."""
         sequence, document = self.router.lease.current()
         if sequence is None:
-            return NoPlace("no lease", constants.NO_LEASE_RETRY_AFTER_S)
+            return PlacementFailure("no lease", constants.NO_LEASE_RETRY_AFTER_S)
         table = self.router.tables.of(sequence, document)
         route = table.match(self.ask.host, self.ask.target)
         if route is None:
@@ -65,14 +65,14 @@
         known = self.ask.identity = identity.identify(document, table.keys, route, self.ask.key_digest)
         self.ask.urgency = identity.request_urgency(document, route, known) if known else None
         if self.lacks_permit():
-            return NoPlace("no permit", constants.PERMIT_RETRY_AFTER_S)
+            return PlacementFailure("no permit", constants.PERMIT_RETRY_AFTER_S)
         pool = routes.pool_of(route, self.environment.random)
         self.selector = document["pools"][pool]["selector"]
         try:
-            pair = self.router.placing.pair(sequence, document, pool, self.ask, self.without, alone)
-        except pair_module.Full as full:
-            return NoPlace("queues are full", max(constants.MIN_QUEUE_FULL_RETRY_AFTER_S, full.span))
-        return pair or NoPlace("no replica", constants.ROUTE_RETRY_AFTER_S)
+            pair = self.router.placement.pair(sequence, document, pool, self.ask, self.without, alone)
+        except replica_pair.QueueFull as full:
+            return PlacementFailure("queues are full", max(constants.MIN_QUEUE_FULL_RETRY_AFTER_S, full.span))
+        return pair or PlacementFailure("no replica", constants.ROUTE_RETRY_AFTER_S)
 
     def note_late(self) -> None:
         """Count an answer that begins past its aim, by the stage that took longest."""
@@ -86,7 +86,7 @@
     def note_event(self) -> None:
         """Count the time from the last event to this one: it tells how many requests a writer carries."""
         now = self.environment.now()
-        self.router.placing.event_times.add(self.pair.writer.name, 1.0, now - self.event_at)
+        self.router.placement.event_times.add(self.pair.writer.name, 1.0, now - self.event_at)
         self.event_at = now
 
     def note_pauses(self) -> None:
--- a/mothshed/data_plane/prompt_parts.py
+++ b/mothshed/data_plane/prefix_cache.py
@@ -6,7 +6,7 @@
 
 import mothshed.constants as constants
 
-Part = tuple[str, int]  # its id, and its tokens
+PromptPart = tuple[str, int]  # its id, and its tokens
 
 
 def home(key: str, names: collections.abc.Iterable[str]) -> str:
@@ -18,13 +18,13 @@
     return max(names, key=lambda name: hashlib.blake2b(f"{key} {name}".encode(), digest_size=8).digest())
 
 
-class Parts:
+class PrefixCacheIndex:
     """Which prompt parts each replica is believed to keep: those sent there lately."""
 
     def __init__(self) -> None:
         self.kept: collections.OrderedDict[tuple[str, str], bool] = collections.OrderedDict()  # (replica, part id)
 
-    def add(self, name: str, parts: list[Part]) -> None:
+    def add(self, name: str, parts: list[PromptPart]) -> None:
         """A prompt of these parts was sent to a replica."""
         for key, _tokens in parts:
             self.kept[(name, key)] = True
@@ -32,7 +32,7 @@
         while len(self.kept) > constants.MAX_KNOWN_PROMPT_PARTS:
             self.kept.popitem(last=False)
 
-    def held(self, name: str, parts: list[Part]) -> int:
+    def held(self, name: str, parts: list[PromptPart]) -> int:
         """Tokens of the leading parts that a replica keeps."""
         total = 0
         for key, tokens in parts:
--- a/mothshed/data_plane/pair.py
+++ b/mothshed/data_plane/replica_pair.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass
-class Pair:
+class ReplicaPair:
     """Where one round of a delivered request goes; no reader: the writer reads for itself."""
 
     sequence: int
@@ -20,7 +20,7 @@
     done: bool = False  # the reader's place is given back
 
 
-class Full(Exception):
+class QueueFull(Exception):
     """Every reader's queue is too long for this prompt; `span` s too long for the shortest."""
 
     def __init__(self, span: float) -> None:
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -11,7 +11,7 @@
 
 import mothshed.configuration.tenant_keys as tenant_keys
 import mothshed.constants as constants
-import mothshed.data_plane.deliver as deliver
+import mothshed.data_plane.delivery as delivery
 import mothshed.data_plane.identity as identity_module
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
@@ -77,7 +77,7 @@
         way = None
         try:
             ask = self.read(environ, born, caller)
-            way = deliver.Deliver(router, ask)
+            way = delivery.Delivery(router, ask)
             begun = way.start()
         except BaseException as e:
             router.leave()
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -11,7 +11,7 @@
 import mothshed.data_plane.frees as frees
 import mothshed.data_plane.guard as guard
 import mothshed.data_plane.permits as permits
-import mothshed.data_plane.placing as placing
+import mothshed.data_plane.placement as placement
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
@@ -49,12 +49,12 @@
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
         self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
-        self.placing = placing.Placing(environment, self.replicas, self.cell)
+        self.placement = placement.Placement(environment, self.replicas, self.cell)
         self.tables = routes.Tables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
+            self.usage = usage_share.UsageShare(environment, self.replicas, self.placement)
         self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -13,8 +13,9 @@
 
 
 class UsageShare:
-    def __init__(self, environment, replicas, placing):
-        self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
+    def __init__(self, environment, replicas, placement):
+        self.environment, self.replicas, self.placement = environment, replicas, placement
+        self.leaders = replicas.leaders
         self.busy_at, self.mark = -1e9, 0
         for part in range(1, constants.PART_COUNT):
             environment.subscribe("usages", self.on_usages, part)
@@ -27,14 +28,14 @@
             for name, row in self.replicas.rows.items():
                 part = found.setdefault(parts.part_of(row["service"]), {})
                 out = max(0.0, self.replicas.doubts.get(name, 0) - now) if name in self.replicas.fails else 0.0
-                ended = self.placing.outcomes.counts_of(name)
+                ended = self.placement.outcomes.counts_of(name)
                 own = replica_load.ReplicaLoad(
                     self.replicas.mine.get(name, 0),
                     out,
                     ended.answered,
                     ended.failed,
-                    list(self.placing.reading[name]),
-                    *self.placing.event_times.of(name),
+                    list(self.placement.reading[name]),
+                    *self.placement.event_times.of(name),
                 )
                 if own.any():
                     part[name] = own
@@ -56,4 +57,4 @@
 
     def on_usages(self, sender, body):
         self.leaders.heard(body["part"], sender)
-        self.placing.take_others(body["part"], replica_load.from_wire(body["rows"]))
+        self.placement.take_others(body["part"], replica_load.from_wire(body["rows"]))
--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -29,7 +29,7 @@
 
 def test_a_switch_that_no_longer_fits_is_refused(tmp_path):
     shutil.copytree(ROOT / "mothshed", tmp_path / "mothshed", ignore=shutil.ignore_patterns("__pycache__"))
-    for change in (mechanisms.Constant("NO_SUCH", "1"), mechanisms.Line(mechanisms.PLACING, "no such line", "")):
+    for change in (mechanisms.Constant("NO_SUCH", "1"), mechanisms.Line(mechanisms.PLACEMENT, "no such line", "")):
         with pytest.raises(mechanisms.NotFound):
             change.apply(tmp_path)
 
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -7,9 +7,9 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.usage_duty as usage_duty
-import mothshed.data_plane.pair as pair_module
-import mothshed.data_plane.placing as placing
-import mothshed.data_plane.prompt_parts as prompt_parts
+import mothshed.data_plane.placement as placement
+import mothshed.data_plane.prefix_cache as prefix_cache
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.replicas.listed as listed
 import mothshed.replicas.replica_load as replica_load
 import mothshed.runtime.journal as journal
@@ -51,7 +51,7 @@
             for n in roles
         }
     )
-    return placing.Placing(environment, found, "a"), pool
+    return placement.Placement(environment, found, "a"), pool
 
 
 def names(pair):
@@ -59,7 +59,7 @@
 
 
 def test_only_leading_parts_count_as_held():
-    parts = prompt_parts.Parts()
+    parts = prefix_cache.PrefixCacheIndex()
     parts.add("p1", [("a", 10), ("c", 30)])
     assert parts.held("p1", [("a", 10), ("b", 20), ("c", 30)]) == 10 and parts.held("p1", [("b", 20), ("a", 10)]) == 0
     assert parts.held("p2", [("a", 10)]) == 0
@@ -69,7 +69,7 @@
 
 def test_the_parts_used_longest_ago_are_forgotten_first(monkeypatch):
     monkeypatch.setattr(constants, "MAX_KNOWN_PROMPT_PARTS", 3)
-    parts = prompt_parts.Parts()
+    parts = prefix_cache.PrefixCacheIndex()
     for key in "abc":
         parts.add("p", [(key, 1)])
     parts.add("p", [("a", 1)])
@@ -122,7 +122,7 @@
     one.reading["p1"][constants.PREFILL_RANK_COUNT - 1] = (
         int(constants.ADMISSION_QUEUE_RATIO * 1.0 * constants.PREFILL_TOKENS_PER_S) + 4000
     )
-    with pytest.raises(pair_module.Full) as full:
+    with pytest.raises(replica_pair.QueueFull) as full:
         one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]))
     assert abs(full.value.span - 0.1) < 0.01
     assert (one.replicas.mine.get("p1", 0), one.replicas.mine.get("d1", 0)) == (0, 0)  # no place was taken
@@ -133,7 +133,7 @@
 def test_with_every_writer_full_nothing_is_admitted_and_no_place_is_taken():
     one, pool = placed(["p1", "d1", "d2"])
     one.take_others(1, {n: usage(8) for n in ("d1", "d2")})
-    with pytest.raises(pair_module.Full):
+    with pytest.raises(replica_pair.QueueFull):
         one.pair(1, DOCUMENT, "main", ask())
     assert not any(one.replicas.mine.values()) and one.being_read("p1") == 0
     one.take_others(1, {"d1": usage(8), "d2": usage(7)})
@@ -144,7 +144,7 @@
     one, pool = placed(["d1", "d2"])
     assert names(one.pair(1, DOCUMENT, "main", ask()))[0] is None
     one.reading["d1"][0] = one.reading["d2"][0] = 10**6
-    with pytest.raises(pair_module.Full):
+    with pytest.raises(replica_pair.QueueFull):
         one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]))
     assert one.pair(1, DOCUMENT, "main", ask(8000, [("own", 8000)]), alone=True)
     one, pool = placed(["p1", "p2"])
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -8,7 +8,7 @@
 import eliot
 import pytest
 
-import mothshed.data_plane.deliver as deliver
+import mothshed.data_plane.delivery as delivery
 import mothshed.data_plane.permits as permits
 import mothshed.runtime.log_buffer as log_buffer
 import mothshed.transport.records as records
@@ -43,13 +43,13 @@
     """A site whose requests are kept as they were read (`read_requests`) and that grants every permit."""
     found = platform_site.Site()
     found.read_requests = []
-    former = deliver.Deliver.__init__
+    former = delivery.Delivery.__init__
 
     def keep(self, router, ask):
         found.read_requests.append(ask)
         former(self, router, ask)
 
-    monkeypatch.setattr(deliver.Deliver, "__init__", keep)
+    monkeypatch.setattr(delivery.Delivery, "__init__", keep)
     monkeypatch.setattr(found.router.permits, "take", lambda *order: None)
     log_buffer.attach_journal(found.router.journal)
     found.lease.active = found.lease.staged = 0  # for the page of the router's condition
@@ -145,7 +145,7 @@
 
 
 def test_a_crash_that_shows_the_request_shows_no_key(site, ring_file, monkeypatch):
-    monkeypatch.setattr(site.router.placing, "pair", crash)
+    monkeypatch.setattr(site.router.placement, "pair", crash)
     host, replicas = site.service("d", engine=False)
     _own, answer = site.ask(host, headers=BEARER)
     found = shown(site, answer, replicas, ring_file)
@@ -154,7 +154,7 @@
 
 def test_where_no_key_is_asked_for_a_crash_shows_no_authorization(site, ring_file, monkeypatch):
     del site.lease.said["senders"]
-    monkeypatch.setattr(site.router.placing, "pair", crash)
+    monkeypatch.setattr(site.router.placement, "pair", crash)
     host, replicas = site.service("d", engine=False)
     _own, answer = site.ask(host, headers=BEARER)
     found = shown(site, answer, replicas, ring_file)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -5,7 +5,7 @@
 import pytest
 
 import mothshed.data_plane.pauses as pauses
-import mothshed.data_plane.place_wait as place_wait
+import mothshed.data_plane.placement_wait as placement_wait
 
 PauseCause = pauses.PauseCause
 
@@ -48,7 +48,7 @@
 
 def test_each_cause_counts_once_for_a_request():
     events = []
-    way = place_wait.PlaceWait()
+    way = placement_wait.PlacementWait()
     way.pauses = types.SimpleNamespace(causes=watched(0.15, (PauseCause.REPLICA, 0.3), (PauseCause.REPLICA, 0.4)))
     way.ask = types.SimpleNamespace(id="r1")
     way.router = types.SimpleNamespace(
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import mothshed.data_plane.pair as pair_module
+import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.replicas.listed as listed
 import mothshed.runtime.journal as journal
 import tests.order_group as order_group
@@ -167,7 +167,7 @@
     one, document = plain_service(3)
     taken = [one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name for _ in range(6)]
     assert sorted(taken) == ["r1", "r1", "r2", "r2", "r3", "r3"]
-    with pytest.raises(pair_module.Full):
+    with pytest.raises(replica_pair.QueueFull):
         one.pair(1, document, "plain", test_delivery_placing.ask(0, ()))
     assert sum(one.replicas.mine.values()) == 6
     one.replicas.end("r2")
@@ -178,7 +178,7 @@
     one, document = plain_service(2)
     one.take_others(1, {"r1": test_delivery_placing.usage(2), "r2": test_delivery_placing.usage(1)})
     assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
-    with pytest.raises(pair_module.Full):
+    with pytest.raises(replica_pair.QueueFull):
         one.pair(1, document, "plain", test_delivery_placing.ask(0, ()))
 
 
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -9,7 +9,7 @@
 import re
 
 CONSTANTS = "mothshed/constants.py"
-PLACING = "mothshed/data_plane/placing.py"
+PLACEMENT = "mothshed/data_plane/placement.py"
 SENDS = "mothshed/data_plane/delivery_sends.py"
 LOAD_SUMS = "mothshed/control_plane/usage_duty.py"
 CONFIGURATION = "mothshed/control_plane/config_part.py"
@@ -73,10 +73,10 @@
 
 MECHANISMS = {
     "hand-over: prefill by another replica": Mechanism(
-        (Line(PLACING, "            if alone:\n", "            if True:\n"),)
+        (Line(PLACEMENT, "            if alone:\n", "            if True:\n"),)
     ),
     "home of shared parts by hash": Mechanism(
-        (Line(PLACING, " if shared and names else None\n", " if False else None\n"),)
+        (Line(PLACEMENT, " if shared and names else None\n", " if False else None\n"),)
     ),
     "parts known to be kept": constants(MAX_KNOWN_PROMPT_PARTS="0"),
     "cost of reading shared parts again": constants(REPEATED_PREFILL_RATIO="0.0"),
