--- a/mothshed/data_plane/delivery.py
+++ b/mothshed/data_plane/delivery.py
@@ -88,8 +88,8 @@
             self.note_caller("worked_after_caller_left", "decode")
             self.reply.close()
         if self.pair:
-            self.router.placement.read(self.pair)
-            self.router.replicas.end(self.pair.writer.name)
+            self.router.placement.finish_prefill(self.pair)
+            self.router.replicas.end(self.pair.decode_replica.name)
         self.handle = self.reply = self.pair = None
 
     def give_in(self, reason):
@@ -120,7 +120,7 @@
         alone = self.prefills > 1 or (self.prefills == 1 and not self.reader_left())
         with self.times.measure(Stage.PLACEMENT):
             pair = self.pair = self.take_place(alone)
-        if pair.reader:
+        if pair.prefill_replica:
             with self.times.measure(Stage.PREFILL):
                 self.handle = self.prefill(pair)
             with self.times.measure(Stage.LEASE):
@@ -150,7 +150,7 @@
             return self.speech.decode(
                 self.environment,
                 self.ask,
-                pair.writer,
+                pair.decode_replica,
                 self.handle,
                 self.left(),
                 self.patience_first(),
@@ -162,12 +162,12 @@
         except verdict.SendFailure as e:
             self.stop_if_caller_left()
             if e.reason != web.NOT_READY:
-                self.judge(e, pair.writer)
+                self.judge(e, pair.decode_replica)
             raise
 
     def begun(self, pair):
         """The head is here: judges it, and pulls the first event of a stream."""
-        reply, name = self.reply, pair.writer.name
+        reply, name = self.reply, pair.decode_replica.name
         if reply.status >= 500:  # its own failure: it ran
             self.own = reply, self.whole(reply, name)
             self.router.placement.outcomes.record_failed(name)
@@ -181,16 +181,16 @@
                 first, number, rows = reply.all(), None, iter(())
         except web.WebFault as e:
             self.stop_if_caller_left()
-            self.judge(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)), pair.writer)
+            self.judge(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)), pair.decode_replica)
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), name) from e
-        self.router.placement.read(pair)
+        self.router.placement.finish_prefill(pair)
         if self.handle:  # the pull is done
             self.router.frees.order(self.handle)
             self.handle = None
         self.router.replicas.served(name)
         self.router.placement.outcomes.record_answered(name)
         if self.ask.parts:
-            self.router.placement.parts.add(name, self.ask.parts)
+            self.router.placement.prefix_cache.add(name, self.ask.parts)
         self.event_at = self.environment.now()
         return reply, first, number, rows
 
@@ -206,8 +206,8 @@
                 return
             except web.WebFault as e:
                 self.stop_if_caller_left()
-                broken = verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.pair.writer.name)
-                self.judge(broken, self.pair.writer)
+                broken = verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.pair.decode_replica.name)
+                self.judge(broken, self.pair.decode_replica)
                 self.note(broken)
             rows = self.take_up()
 
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -20,7 +20,7 @@
 
     def check(self, role):
         """The last check before a send: the same lease still runs, the replica stays, and the caller still waits."""
-        place = self.pair.reader if role == "prefill" else self.pair.writer
+        place = self.pair.prefill_replica if role == "prefill" else self.pair.decode_replica
 
         def ready():
             if not self.plan_is_current() or not self.staying(place):
@@ -60,8 +60,8 @@
     def keep_writer(self):
         """Another writer for the handle when the pair's began to leave while the prompt was read."""
         pair = self.pair
-        if not self.staying(pair.writer):
-            self.router.placement.change_writer(pair, self.selector, self.without)
+        if not self.staying(pair.decode_replica):
+            self.router.placement.replace_decode_replica(pair, self.selector, self.without)
 
     def plan_is_current(self) -> bool:
         """Whether a lease runs under which this request still goes to the pool of its pair, and from the same tenant.
@@ -116,9 +116,9 @@
 
     def prefill(self, pair):
         """The handle, or None when the writer shall read for itself."""
-        began, name, unread = self.environment.now(), pair.reader.name, pair.unread
+        began, name, unread = self.environment.now(), pair.prefill_replica.name, pair.uncached_tokens
         read = min(
-            max(constants.PREFILL_TIMEOUT_RATIO * pair.expected, constants.MIN_PREFILL_TIMEOUT_S),
+            max(constants.PREFILL_TIMEOUT_RATIO * pair.expected_prefill_s, constants.MIN_PREFILL_TIMEOUT_S),
             constants.MAX_PREFILL_TIMEOUT_S,
             self.left(),
         )
@@ -126,7 +126,7 @@
             self.may_send("prefill")
             urgency = identity.urgency_for_replica(self.ask.urgency, pair.rank)
             handle = self.speech.prefill(
-                self.environment, self.ask, pair.reader, self.left(), read, self.check("prefill"), urgency
+                self.environment, self.ask, pair.prefill_replica, self.left(), read, self.check("prefill"), urgency
             )
         except verdict.SendFailure as e:
             if e.reason == web.NOT_READY or self.over:
@@ -143,13 +143,13 @@
                 if self.prefills == 1 and self.counted == 0:
                     self.counted += 1  # a first prefill that nobody took up counts after all
                     self.shed += e.rejected
-                self.judge(e, pair.reader)
-                self.router.placement.parts.forget(name)
+                self.judge(e, pair.prefill_replica)
+                self.router.placement.prefix_cache.forget(name)
             return None
         finally:
-            self.router.placement.read(pair)
-        self.router.placement.parts.add(name, self.ask.parts)
-        self.router.placement.measured(name, unread, pair.queued, self.environment.now() - began)
+            self.router.placement.finish_prefill(pair)
+        self.router.placement.prefix_cache.add(name, self.ask.parts)
+        self.router.placement.record_prefill(name, unread, pair.queued_tokens, self.environment.now() - began)
         self.router.replicas.served(name)
         return handle
 
@@ -172,8 +172,11 @@
         """
         if not (self.handle and e.rejected and e.verdict is NOT_RUN):
             return False
-        room = self.router.placement.running(pair.writer.name) <= self.router.replicas.rows[pair.writer.name]["slots"]
-        return room and self.staying(pair.writer) and self.router.budget.extra()
+        room = (
+            self.router.placement.running(pair.decode_replica.name)
+            <= self.router.replicas.rows[pair.decode_replica.name]["slots"]
+        )
+        return room and self.staying(pair.decode_replica) and self.router.budget.extra()
 
     def drop_handle(self, e: verdict.SendFailure) -> None:
         """The hand-over of a prompt failed: its memory is freed, and the failed send counts as none of a replica."""
--- a/mothshed/data_plane/placement_wait.py
+++ b/mothshed/data_plane/placement_wait.py
@@ -69,9 +69,9 @@
         pool = routes.pool_of(route, self.environment.random)
         self.selector = document["pools"][pool]["selector"]
         try:
-            pair = self.router.placement.pair(sequence, document, pool, self.ask, self.without, alone)
+            pair = self.router.placement.reserve_pair(sequence, document, pool, self.ask, self.without, alone)
         except replica_pair.QueueFull as full:
-            return PlacementFailure("queues are full", max(constants.MIN_QUEUE_FULL_RETRY_AFTER_S, full.span))
+            return PlacementFailure("queues are full", max(constants.MIN_QUEUE_FULL_RETRY_AFTER_S, full.excess_s))
         return pair or PlacementFailure("no replica", constants.ROUTE_RETRY_AFTER_S)
 
     def note_late(self) -> None:
@@ -86,7 +86,7 @@
     def note_event(self) -> None:
         """Count the time from the last event to this one: it tells how many requests a writer carries."""
         now = self.environment.now()
-        self.router.placement.event_times.add(self.pair.writer.name, 1.0, now - self.event_at)
+        self.router.placement.event_times.add(self.pair.decode_replica.name, 1.0, now - self.event_at)
         self.event_at = now
 
     def note_pauses(self) -> None:
--- a/mothshed/data_plane/prefix_cache.py
+++ b/mothshed/data_plane/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts replicas are believed to keep: those that this router sent there lately."""
+"""Estimates which prompt parts the prefix cache of each replica holds, from what this router sent there."""
 
 import collections
 import collections.abc
@@ -6,42 +6,42 @@
 
 import mothshed.constants as constants
 
-PromptPart = tuple[str, int]  # its id, and its tokens
+PromptPart = tuple[str, int]  # id, number of tokens
 
 
-def home(key: str, names: collections.abc.Iterable[str]) -> str:
-    """The replica of these that a part belongs to, by a rendezvous hash: alike wherever it is worked out.
+def preferred_replica(part_id: str, names: collections.abc.Iterable[str]) -> str:
+    """The replica that a part belongs to by a rendezvous hash; every router gets the same result.
 
-    >>> home("a", ["p1", "p2"]) == home("a", ["p2", "p1"])
+    >>> preferred_replica("a", ["p1", "p2"]) == preferred_replica("a", ["p2", "p1"])
     True
     """
-    return max(names, key=lambda name: hashlib.blake2b(f"{key} {name}".encode(), digest_size=8).digest())
+    return max(names, key=lambda name: hashlib.blake2b(f"{part_id} {name}".encode(), digest_size=8).digest())
 
 
 class PrefixCacheIndex:
-    """Which prompt parts each replica is believed to keep: those sent there lately."""
+    """The prompt parts that each replica is assumed to hold: those sent there last, up to a limit over all replicas."""
 
     def __init__(self) -> None:
-        self.kept: collections.OrderedDict[tuple[str, str], bool] = collections.OrderedDict()  # (replica, part id)
+        self.entries: collections.OrderedDict[tuple[str, str], bool] = collections.OrderedDict()  # (replica, part id)
 
     def add(self, name: str, parts: list[PromptPart]) -> None:
-        """A prompt of these parts was sent to a replica."""
-        for key, _tokens in parts:
-            self.kept[(name, key)] = True
-            self.kept.move_to_end((name, key))
-        while len(self.kept) > constants.MAX_KNOWN_PROMPT_PARTS:
-            self.kept.popitem(last=False)
-
-    def held(self, name: str, parts: list[PromptPart]) -> int:
-        """Tokens of the leading parts that a replica keeps."""
+        """Record that a prompt of these parts was sent to a replica."""
+        for part_id, _tokens in parts:
+            self.entries[(name, part_id)] = True
+            self.entries.move_to_end((name, part_id))
+        while len(self.entries) > constants.MAX_KNOWN_PROMPT_PARTS:
+            self.entries.popitem(last=False)
+
+    def cached_tokens(self, name: str, parts: list[PromptPart]) -> int:
+        """Tokens of the leading parts that a replica holds."""
         total = 0
-        for key, tokens in parts:
-            if (name, key) not in self.kept:
+        for part_id, tokens in parts:
+            if (name, part_id) not in self.entries:
                 break
             total += tokens
         return total
 
     def forget(self, name: str) -> None:
-        """A replica is believed to keep nothing any more."""
-        for entry in [entry for entry in self.kept if entry[0] == name]:
-            del self.kept[entry]
+        """Assume that a replica holds nothing any more."""
+        for entry in [entry for entry in self.entries if entry[0] == name]:
+            del self.entries[entry]
--- a/mothshed/data_plane/replica_pair.py
+++ b/mothshed/data_plane/replica_pair.py
@@ -1,4 +1,4 @@
-"""Where one round of a delivered request goes, or that it goes nowhere now."""
+"""The replicas of one attempt to deliver a request, and the error if their queues are full."""
 
 import dataclasses
 
@@ -7,22 +7,22 @@
 
 @dataclasses.dataclass
 class ReplicaPair:
-    """Where one round of a delivered request goes; no reader: the writer reads for itself."""
+    """The replicas of one attempt; without a prefill replica the decode replica prefills the prompt itself."""
 
     sequence: int
     pool: str
-    reader: replicas.Place | None
-    writer: replicas.Place
-    unread: float  # prompt tokens that the reader is expected to read
-    expected: float  # s until the prompt is read
-    queued: float = 0  # tokens already there to be read when it was placed
-    rank: int = 0  # of the reading: 0 goes first
-    done: bool = False  # the reader's place is given back
+    prefill_replica: replicas.Place | None
+    decode_replica: replicas.Place
+    uncached_tokens: float  # prompt tokens that are expected to be prefilled
+    expected_prefill_s: float  # until the prompt is prefilled
+    queued_tokens: float = 0  # tokens already queued at the replica when the pair was reserved
+    rank: int = 0  # of the prefill in its queue; 0 goes first
+    prefill_ended: bool = False  # the slot of the prefill replica is released
 
 
 class QueueFull(Exception):
-    """Every reader's queue is too long for this prompt; `span` s too long for the shortest."""
+    """The queues of all replicas are too long for this prompt; the shortest one by `excess_s`."""
 
-    def __init__(self, span: float) -> None:
-        super().__init__(f"queue is {span:.2f} s too long")
-        self.span = span
+    def __init__(self, excess_s: float) -> None:
+        super().__init__(f"queue is {excess_s:.2f} s too long")
+        self.excess_s = excess_s
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/usage_share.py
@@ -34,7 +34,7 @@
                     out,
                     ended.answered,
                     ended.failed,
-                    list(self.placement.reading[name]),
+                    list(self.placement.backlog[name]),
                     *self.placement.event_times.of(name),
                 )
                 if own.any():
@@ -57,4 +57,4 @@
 
     def on_usages(self, sender, body):
         self.leaders.heard(body["part"], sender)
-        self.placement.take_others(body["part"], replica_load.from_wire(body["rows"]))
+        self.placement.update_remote_loads(body["part"], replica_load.from_wire(body["rows"]))
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -104,7 +104,7 @@
 def test_who_leaves_while_no_place_is_free_is_sent_nowhere(site, monkeypatch):
     host, replicas = service(site, "pd")
     looked = []
-    pair = site.router.placement.pair
+    pair = site.router.placement.reserve_pair
 
     def after_the_caller_left(*given):
         if not looked:
@@ -113,7 +113,7 @@
             return None
         return pair(*given)
 
-    monkeypatch.setattr(site.router.placement, "pair", after_the_caller_left)
+    monkeypatch.setattr(site.router.placement, "reserve_pair", after_the_caller_left)
     caller = Caller(site, host)
     platform_site.until(lambda: looked)
     ended(site)
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -145,7 +145,7 @@
 
 
 def test_a_crash_that_shows_the_request_shows_no_key(site, ring_file, monkeypatch):
-    monkeypatch.setattr(site.router.placement, "pair", crash)
+    monkeypatch.setattr(site.router.placement, "reserve_pair", crash)
     host, replicas = site.service("d", engine=False)
     _own, answer = site.ask(host, headers=BEARER)
     found = shown(site, answer, replicas, ring_file)
@@ -154,7 +154,7 @@
 
 def test_where_no_key_is_asked_for_a_crash_shows_no_authorization(site, ring_file, monkeypatch):
     del site.lease.said["senders"]
-    monkeypatch.setattr(site.router.placement, "pair", crash)
+    monkeypatch.setattr(site.router.placement, "reserve_pair", crash)
     host, replicas = site.service("d", engine=False)
     _own, answer = site.ask(host, headers=BEARER)
     found = shown(site, answer, replicas, ring_file)
--- a/tests/test_leaving_writer.py
+++ b/tests/test_leaving_writer.py
@@ -27,15 +27,15 @@
 def test_the_handle_goes_to_another_writer_and_its_prompt_is_not_read_again(site):
     host, (reader, *writers) = site.service("pdd")
     taken = []
-    choose = site.router.placement.writer
+    choose = site.router.placement.choose_decode
     leave_during_prefill(site, reader, writers[0])
-    site.router.placement.writer = lambda names, cell: (
+    site.router.placement.choose_decode = lambda names, cell: (
         taken.append(names) or (writers[0].name if len(taken) == 1 else choose(names, cell))
     )
     try:
         own, answer = site.ask(host)
     finally:
-        site.router.placement.writer = choose
+        site.router.placement.choose_decode = choose
     assert (answer.status, answer.body) == (200, platform_site.pieces())
     assert [len(replica.asked) for replica in (reader, *writers)] == [1, 0, 1]
     assert writers[1].asked[0].get("Cache-From") and len(taken) == 2
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -62,17 +62,20 @@
 
 
 def test_what_other_routers_saw_fail_counts_here_too():
-    one, pool = test_delivery_placing.placed(["p1", "d1", "d2", "d3"])
+    placement, pool = test_delivery_placing.placed(["p1", "d1", "d2", "d3"])
     told = {"d1": test_delivery_placing.usage(0), "d2": test_delivery_placing.usage(3)}
     told["d1"].failed, told["d2"].answered = 4.0, 4.0
-    one.take_others(1, told)
+    placement.update_remote_loads(1, told)
     chosen = {
-        one.pair(1, test_delivery_placing.DOCUMENT, "main", test_delivery_placing.ask()).writer.name for _ in range(4)
+        placement.reserve_pair(
+            1, test_delivery_placing.DOCUMENT, "main", test_delivery_placing.ask()
+        ).decode_replica.name
+        for _ in range(4)
     }
     assert "d1" not in chosen  # though it has the least running
     pool.time += constants.LOAD_TTL_S + 0.1
-    one.replicas.mine.clear()
-    assert one.not_failing(["d1", "d2"]) == ["d1", "d2"]
+    placement.replicas.mine.clear()
+    assert placement.without_failing(["d1", "d2"]) == ["d1", "d2"]
 
 
 @pytest.fixture(scope="module")
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -165,32 +165,34 @@
 
 def test_requests_of_a_service_without_a_model_are_spread_and_never_exceed_the_known_slots():
     one, document = plain_service(3)
-    taken = [one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name for _ in range(6)]
+    taken = [
+        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name for _ in range(6)
+    ]
     assert sorted(taken) == ["r1", "r1", "r2", "r2", "r3", "r3"]
     with pytest.raises(replica_pair.QueueFull):
-        one.pair(1, document, "plain", test_delivery_placing.ask(0, ()))
+        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ()))
     assert sum(one.replicas.mine.values()) == 6
     one.replicas.end("r2")
-    assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
+    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
 
 
 def test_what_other_routers_have_at_a_service_without_a_model_counts_against_its_slots():
     one, document = plain_service(2)
-    one.take_others(1, {"r1": test_delivery_placing.usage(2), "r2": test_delivery_placing.usage(1)})
-    assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
+    one.update_remote_loads(1, {"r1": test_delivery_placing.usage(2), "r2": test_delivery_placing.usage(1)})
+    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
     with pytest.raises(replica_pair.QueueFull):
-        one.pair(1, document, "plain", test_delivery_placing.ask(0, ()))
+        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ()))
 
 
 def test_a_service_without_a_model_is_served_in_the_routers_own_zone_while_that_is_no_busier():
     one, document = plain_service(3, {"r1": "b", "r2": "a", "r3": "b"})
-    assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
+    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
     one, document = plain_service(2, {"r1": "b", "r2": "a"})
-    one.take_others(1, {"r2": test_delivery_placing.usage(2)})
-    assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r1"
+    one.update_remote_loads(1, {"r2": test_delivery_placing.usage(2)})
+    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r1"
 
 
 def test_a_prompt_to_a_service_without_a_model_is_read_by_nobody_ahead():
     one, document = plain_service(2)
-    pair = one.pair(1, document, "plain", test_delivery_placing.ask())
-    assert pair.reader is None and pair.unread == 0
+    pair = one.reserve_pair(1, document, "plain", test_delivery_placing.ask())
+    assert pair.prefill_replica is None and pair.uncached_tokens == 0
--- a/tools/hollow/fleet.py
+++ b/tools/hollow/fleet.py
@@ -89,11 +89,11 @@
     def draw(self, router):
         """Sets what this router has running, as many requests as the size says."""
         router.replicas.mine = design.running(self.size, self.chance, self.readers, self.writers)
-        for name in list(router.placement.reading):
-            router.placement.reading[name] = [0] * constants.PREFILL_RANK_COUNT
+        for name in list(router.placement.backlog):
+            router.placement.backlog[name] = [0] * constants.PREFILL_RANK_COUNT
         for name in self.readers:
             if name in router.replicas.mine:
-                router.placement.reading[name] = [
+                router.placement.backlog[name] = [
                     4000 * router.replicas.mine[name],
                     *[0] * (constants.PREFILL_RANK_COUNT - 1),
                 ]
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -227,8 +227,8 @@
     sequence, document = router.lease.sequence(), router.lease.document()
 
     def place():
-        pair = router.placement.pair(sequence, document, design.model(7), ask)
-        router.placement.read(pair)
-        router.replicas.end(pair.writer.name)
+        pair = router.placement.reserve_pair(sequence, document, design.model(7), ask)
+        router.placement.finish_prefill(pair)
+        router.replicas.end(pair.decode_replica.name)
 
     return {"request": whole, "placing": spent(place), "answered": count[0] > 0}
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -73,7 +73,7 @@
 
 MECHANISMS = {
     "hand-over: prefill by another replica": Mechanism(
-        (Line(PLACEMENT, "            if alone:\n", "            if True:\n"),)
+        (Line(PLACEMENT, "            if decode_only:\n", "            if True:\n"),)
     ),
     "home of shared parts by hash": Mechanism(
         (Line(PLACEMENT, " if shared and names else None\n", " if False else None\n"),)
