--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the delivery of routes, without sockets: events, and configuration sequences that rise unevenly."""
+"""Splitting of event streams, and configuration sequences that are not consecutive; without sockets."""
 
 import itertools
 import types
@@ -25,73 +25,73 @@
 
 
 @pytest.mark.parametrize("name", TEXTS)
-def test_events_are_the_same_however_the_bytes_come(name):
+def test_events_do_not_depend_on_how_the_bytes_are_split(name):
     text = TEXTS[name]
     whole = list(events.split([text]))
-    assert [number for event, number in whole] == IDS[name] and b"".join(e for e, n in whole) == text
-    for one, two in itertools.combinations_with_replacement(range(len(text) + 1), 2):
-        assert list(events.split([text[:one], text[one:two], text[two:]])) == whole
+    assert [number for event, number in whole] == IDS[name] and b"".join(event for event, _number in whole) == text
+    for first_cut, second_cut in itertools.combinations_with_replacement(range(len(text) + 1), 2):
+        assert list(events.split([text[:first_cut], text[first_cut:second_cut], text[second_cut:]])) == whole
     assert list(events.split([bytes([b]) for b in text])) == whole
 
 
-def test_no_event_is_given_out_before_it_is_whole():
+def test_no_event_is_returned_before_it_is_complete():
     text = TEXTS["crlf"]
     for end in range(len(text)):
-        given = list(events.split([text[:end]]))
-        assert all(event.endswith(b"\r\n\r\n") for event, number in given[:-1])
+        complete = list(events.split([text[:end]]))
+        assert all(event.endswith(b"\r\n\r\n") for event, number in complete[:-1])
     assert list(events.split([])) == list(events.split([b""])) == []
 
 
-# --- sequences that rise unevenly -------------------------------------------
+# --- sequences that are not consecutive --------------------------------------
 
 
-def stage(base, sequence, mark, doc=None):
-    return {"op": "stage", "base": base, "sequence": sequence, "doc": doc or {"n": sequence}, "by": "", "id": mark}
+def stage(base, sequence, order_id, doc=None):
+    return {"op": "stage", "base": base, "sequence": sequence, "doc": doc or {"n": sequence}, "by": "", "id": order_id}
 
 
-def test_a_machine_takes_sequences_that_rise_and_no_others():
-    m = config_machine.ConfigMachine()
-    assert m.apply(1, stage(0, 5, "a")) == {"sequence": 5}
-    assert m.apply(2, stage(5, 40, "b")) == {"sequence": 40}
-    assert m.apply(3, stage(5, 41, "c")) == {"conflict": 40}  # lost its race
-    assert m.apply(4, stage(40, 40, "d")) == {"low": 40} and m.apply(5, stage(40, 7, "e")) == {"low": 40}
-    assert m.apply(6, stage(0, 5, "a")) == {"sequence": 5}  # sent again: as it was taken
-    assert m.apply(7, {"op": "stage", "base": 40, "doc": {}, "by": "", "id": "f"}) == {"sequence": 41}
-    assert sorted(m.docs) == [5, 40, 41] and (m.latest, m.active) == (41, 0)
+def test_only_increasing_sequences_are_staged():
+    machine = config_machine.ConfigMachine()
+    assert machine.apply(1, stage(0, 5, "a")) == {"sequence": 5}
+    assert machine.apply(2, stage(5, 40, "b")) == {"sequence": 40}
+    assert machine.apply(3, stage(5, 41, "c")) == {"conflict": 40}  # another change came first
+    assert machine.apply(4, stage(40, 40, "d")) == {"low": 40} and machine.apply(5, stage(40, 7, "e")) == {"low": 40}
+    assert machine.apply(6, stage(0, 5, "a")) == {"sequence": 5}  # sent again: the same result
+    assert machine.apply(7, {"op": "stage", "base": 40, "doc": {}, "by": "", "id": "f"}) == {"sequence": 41}
+    assert sorted(machine.docs) == [5, 40, 41] and (machine.latest, machine.active) == (41, 0)
 
 
-def test_one_that_was_turned_away_may_be_sent_again_on_what_is_in_place():
-    m = config_machine.ConfigMachine()
-    m.apply(1, stage(0, 5, "a"))
-    assert m.apply(2, stage(0, 9, "b")) == {"conflict": 5}
-    assert m.apply(3, stage(5, 9, "c")) == {"sequence": 9}
-    assert m.apply(4, stage(0, 9, "b")) == {"conflict": 9}  # never taken: it stays so
+def test_a_rejected_change_may_be_sent_again_on_the_current_base():
+    machine = config_machine.ConfigMachine()
+    machine.apply(1, stage(0, 5, "a"))
+    assert machine.apply(2, stage(0, 9, "b")) == {"conflict": 5}
+    assert machine.apply(3, stage(5, 9, "c")) == {"sequence": 9}
+    assert machine.apply(4, stage(0, 9, "b")) == {"conflict": 9}  # it was never staged, so it is rejected again
 
 
 @pytest.mark.parametrize("order", list(itertools.permutations([5, 6, 40, 41])))
-def test_only_what_is_staged_is_activated_and_never_an_older_one(order):
-    m = config_machine.ConfigMachine()
-    m.apply(1, stage(0, 5, "a"))
-    m.apply(2, stage(5, 40, "b"))
-    at = 0
+def test_only_a_staged_sequence_is_activated_and_never_an_older_one(order):
+    machine = config_machine.ConfigMachine()
+    machine.apply(1, stage(0, 5, "a"))
+    machine.apply(2, stage(5, 40, "b"))
+    active = 0
     for sequence in order:
-        m.apply(3, {"op": "activate", "sequence": sequence})
-        at = max(at, sequence) if sequence in (5, 40) else at
-        assert m.active == at
+        machine.apply(3, {"op": "activate", "sequence": sequence})
+        active = max(active, sequence) if sequence in (5, 40) else active
+        assert machine.active == active
 
 
-def test_a_machine_is_the_same_after_its_state_was_kept_and_read():
-    m, other = config_machine.ConfigMachine(), config_machine.ConfigMachine()
+def test_a_state_machine_is_restored_from_its_dump():
+    machine, restored = config_machine.ConfigMachine(), config_machine.ConfigMachine()
     for base, sequence in ((0, 3), (3, 90), (90, 91)):
-        m.apply(1, stage(base, sequence, f"m{sequence}"))
-    m.apply(2, {"op": "activate", "sequence": 90})
-    other.restore(m.dump())
-    assert other.dump() == m.dump() and other.apply(3, stage(3, 90, "m90")) == {"sequence": 90}
-    assert other.apply(4, stage(91, 91, "x")) == {"low": 91}
+        machine.apply(1, stage(base, sequence, f"m{sequence}"))
+    machine.apply(2, {"op": "activate", "sequence": 90})
+    restored.restore(machine.dump())
+    assert restored.dump() == machine.dump() and restored.apply(3, stage(3, 90, "m90")) == {"sequence": 90}
+    assert restored.apply(4, stage(91, 91, "x")) == {"low": 91}
 
 
-class Seat:
-    """The duty's leader, always sure: commits at once."""
+class SingleMemberLeader:
+    """A leader that always has a quorum and commits immediately."""
 
     def __init__(self, environment):
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
@@ -107,12 +107,12 @@
         return self.environment.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
-        return None  # nothing is known of another leader's time
+        return None  # no earlier leader is known
 
 
-def duty_of(pool, *sequences):
-    """A duty whose machine has these, the first of them active; it has waited out its start."""
-    duty = config_part.ConfigDuty(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+def make_duty(pool, *sequences):
+    """A configuration task with the first of these sequences active, after its start delay."""
+    duty = config_part.ConfigDuty(SingleMemberLeader(all_orders.ManualEnvironment(pool, "a:1")))
     base = 0
     for sequence in sequences[:1]:
         duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
@@ -122,15 +122,15 @@
     return duty
 
 
-def deliver(pool):
+def deliver_all(pool):
     while pool.waiting:
         pool.deliver(0)
 
 
-def test_a_write_is_answered_though_it_is_activated_at_once():
-    """In a group of one an entry is committed as it is proposed, so staging leads to activating before it ends."""
+def test_a_write_that_is_activated_immediately_is_answered():
+    """In a group of one member an entry commits as it is proposed, so activation begins before staging returns."""
     pool = all_orders.Pool()
-    seat = member_module.Member(
+    member = member_module.Member(
         all_orders.ManualEnvironment(pool, "a:1"),
         all_orders.disk(),
         0,
@@ -139,25 +139,26 @@
         ["a:1"],
         config_machine.ConfigMachine(),
     )
-    duty = config_part.ConfigDuty(seat)
-    seat.begin()
-    seat.bootstrap({"A/1": {"address": "a:1", "http": ""}})
+    duty = config_part.ConfigDuty(member)
+    member.begin()
+    member.bootstrap({"A/1": {"address": "a:1", "http": ""}})
     pool.time += 10
-    seat.start_election(pre_vote=True)
-    assert seat.is_leader and seat.ready
+    member.start_election(pre_vote=True)
+    assert member.is_leader and member.ready
     pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
-    said = []
+    replies = []
     for base, sequence in ((0, 5), (5, 40)):
-        seat.propose(stage(base, sequence, f"m{sequence}"), said.append)
+        member.propose(stage(base, sequence, f"m{sequence}"), replies.append)
         assert duty.machine.active == sequence
-    assert said == [{"sequence": 5}, {"sequence": 40}]
+    assert replies == [{"sequence": 5}, {"sequence": 40}]
 
 
-def test_a_lease_is_long_short_or_none_by_what_is_staged():
+def test_the_lease_length_depends_on_what_is_staged():
     pool = all_orders.Pool()
-    duty = duty_of(pool, 5)
+    duty = make_duty(pool, 5)
     assert duty.length() == constants.LONG_LEASE_S
-    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)  # one that never says that it has it
+    # this lease holder never acknowledges the new document
+    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)
     duty.machine.apply(0, stage(5, 40, "b"))
     assert duty.machine.active == 5 and duty.length() == constants.SHORT_LEASE_S
     pool.time += duty.bounds.older_s + 0.01
@@ -167,35 +168,35 @@
     assert duty.machine.active == 40 and duty.length() == constants.LONG_LEASE_S
 
 
-def test_a_new_owner_grants_nothing_old_while_something_is_staged():
+def test_a_new_leader_grants_no_older_lease_while_a_document_is_staged():
     pool = all_orders.Pool()
-    duty = duty_of(pool, 5)
+    duty = make_duty(pool, 5)
     duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)
     duty.machine.apply(0, stage(5, 40, "b"))
-    duty.start()  # it does not know since when
+    duty.start()  # a new leader does not know when it was staged
     assert duty.length() == 0.0 and duty.machine.active == 5
     pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
     duty.try_activate()
     assert duty.machine.active == 40
 
 
-def test_uneven_sequences_reach_a_holder_one_after_another():
+def test_a_lease_holder_receives_non_consecutive_sequences_in_order():
     pool = all_orders.Pool()
-    duty = duty_of(pool, 5)
+    duty = make_duty(pool, 5)
     lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
     lease.ask()
-    deliver(pool)
+    deliver_all(pool)
     assert lease.sequence() == 5 and lease.document() == {"n": 5}
     for base, sequence in ((5, 40), (40, 41), (41, 1000)):
         duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
-        assert duty.machine.active == base  # the holder has not said that it has it
-        deliver(pool)
+        assert duty.machine.active == base  # the lease holder has not acknowledged it
+        deliver_all(pool)
         assert duty.machine.active == sequence == lease.sequence() and lease.document() == {"n": sequence}
 
 
-def test_of_several_staged_the_newest_that_all_holders_have_is_activated():
+def test_the_newest_staged_document_that_all_lease_holders_have_is_activated():
     pool = all_orders.Pool()
-    duty = duty_of(pool, 5)
+    duty = make_duty(pool, 5)
     for name, staged in (("r:1", 5), ("r:2", 5)):
         duty.holders[name] = leaseholder.Leaseholder(until=pool.time + 1, staged=staged)
     for base, sequence in ((5, 40), (40, 77)):
--- a/tests/test_last_responses.py
+++ b/tests/test_last_responses.py
@@ -1,4 +1,4 @@
-"""The last response of a connection, a replica's or our own, reaches its caller whole."""
+"""The last response of a connection, of a replica or of the router, reaches its caller complete."""
 
 import pytest
 
@@ -25,42 +25,42 @@
     return bare_http.head(200, [*headers, ("Transfer-Encoding", "chunked")]) + data + b"0\r\n\r\n"
 
 
-def answer_with(replica, frame, pieces, *more_headers):
-    """The replica runs each request and answers at once with these pieces."""
+def respond_with(replica, encode, pieces, *extra_headers):
+    """Make the replica run each request and respond immediately with these pieces."""
 
     def run(conn, request, fault, headers):
         replica.platform.runs.append({"id": request.get("Try-Id"), "replica": replica.name})
-        conn.sendall(frame([*headers, ("Postmark", "stamp"), *more_headers], pieces))
-        return CLOSE not in more_headers
+        conn.sendall(encode([*headers, ("Postmark", "stamp"), *extra_headers], pieces))
+        return CLOSE not in extra_headers
 
     replica.run = run
 
 
-FRAMES = pytest.mark.parametrize("frame", [with_length, in_chunks])
+ENCODINGS = pytest.mark.parametrize("encode", [with_length, in_chunks])
 
 
-@FRAMES
+@ENCODINGS
 @pytest.mark.parametrize("kind", ["once_only", "repeatable", "stream"])
 @pytest.mark.parametrize("headers", [(), (CLOSE,)], ids=["kept", "closing"])
-def test_a_whole_answer_is_passed_on_whole_whether_its_replica_closes_or_not(site, frame, kind, headers):
+def test_a_complete_response_is_forwarded_completely_whether_or_not_the_replica_closes(site, encode, kind, headers):
     host, (replica,) = site.service("d", engine=False, kind=kind, facts={"events": 0})
     pieces = [b"id: 1\ndata: a\n\n", b"id: 2\ndata: b\n\n", b"id: 3\ndata: no empty line after it\n"]
-    answer_with(replica, frame, pieces, *headers)
-    for _ in range(3):  # a replica whose answers came whole is not passed over afterwards
-        own, answer = site.ask(host, prompt=False)
-        assert (answer.status, answer.body, answer.complete) == (200, b"".join(pieces), True)
-        assert len(site.platform.ran(own)) == 1
+    respond_with(replica, encode, pieces, *headers)
+    for _ in range(3):  # the replica is not excluded after complete responses
+        request_id, response = site.ask(host, prompt=False)
+        assert (response.status, response.body, response.complete) == (200, b"".join(pieces), True)
+        assert len(site.platform.ran(request_id)) == 1
 
 
-def test_a_finished_exchange_no_longer_sets_the_patience_of_its_connection():
-    """Its connection may carry another exchange by then."""
+def test_a_finished_exchange_no_longer_changes_the_timeout_of_its_connection():
+    """The connection may be in use by another exchange by then."""
     server = bare_http.Listener()
     server.answer = lambda conn, request: conn.sendall(bare_http.whole(200, [], b"one")) or True
-    idle = kept.Kept(lambda: 0.0)
-    first = idle.exchange("GET", server.address, "/", {}, None, 5.0)
+    pool = kept.Kept(lambda: 0.0)
+    first = pool.exchange("GET", server.address, "/", {}, None, 5.0)
     assert first.all() == b"one"
-    second = idle.exchange("GET", server.address, "/", {}, None, 5.0)
-    assert second.sock is first.sock and idle.reused == 1
+    second = pool.exchange("GET", server.address, "/", {}, None, 5.0)
+    assert second.sock is first.sock and pool.reused == 1
     first.patience(0.01)
     assert second.sock.gettimeout() == 5.0 and second.all() == b"one"
     server.stop()
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Replicas that fail their requests: who is left out, who is not, and for how long."""
+"""Replicas that fail their requests: which are excluded, which are not, and for how long."""
 
 import hypothesis
 import hypothesis.strategies as strategies
@@ -14,23 +14,23 @@
 
 
 @pytest.mark.parametrize(
-    "counts_by_replica, left_out",
+    "counts_by_replica, excluded",
     [
         ({"a": Counts(0, 5), "b": Counts(5, 0)}, ["a"]),
         ({"a": Counts(0, 2), "b": Counts(5, 0)}, []),  # too few to prove anything
-        ({"a": Counts(0, 5)}, []),  # there is no other
+        ({"a": Counts(0, 5)}, []),  # the pool has no other replica
         ({"a": Counts(0, 5), "b": Counts(0, 0)}, ["a"]),
-        ({"a": Counts(11, 9), "b": Counts(20, 0), "c": Counts(20, 0)}, ["a"]),  # fails less than half of them
-        ({"a": Counts(100, 4), "b": Counts(100, 0), "c": Counts(100, 1)}, []),  # a few fail in good health
-        ({n: Counts(1, 9) for n in "abcd"}, []),  # all alike: not the replicas
+        ({"a": Counts(11, 9), "b": Counts(20, 0), "c": Counts(20, 0)}, ["a"]),  # fails less than half of its requests
+        ({"a": Counts(100, 4), "b": Counts(100, 0), "c": Counts(100, 1)}, []),  # healthy replicas fail a few requests
+        ({name: Counts(1, 9) for name in "abcd"}, []),  # all fail alike, so the replicas are not the cause
         (
             {"a": Counts(0, 9), "b": Counts(0, 9), "c": Counts(50, 0), "d": Counts(50, 0)},
             ["a", "b"],
         ),
     ],
 )
-def test_who_fails_far_more_than_the_others_of_its_pool(counts_by_replica, left_out):
-    assert sorted(outcomes.failing_replicas(counts_by_replica)) == left_out
+def test_replicas_that_fail_far_more_than_the_others_of_their_pool(counts_by_replica, excluded):
+    assert sorted(outcomes.failing_replicas(counts_by_replica)) == excluded
 
 
 COUNTS = strategies.builds(Counts, strategies.floats(0, 1000), strategies.floats(0, 1000))
@@ -38,41 +38,36 @@
 
 @STEADY
 @hypothesis.given(strategies.dictionaries(strategies.text(max_size=2), COUNTS, max_size=9))
-def test_at_most_half_of_a_pool_is_left_out_whatever_the_counts(counts_by_replica):
+def test_at_most_half_of_a_pool_is_excluded_whatever_the_counts(counts_by_replica):
     found = outcomes.failing_replicas(counts_by_replica)
     assert len(found) <= len(counts_by_replica) // 2 and set(found) <= set(counts_by_replica)
     assert all(counts_by_replica[name].failed >= constants.MIN_FAILED_REQUESTS for name in found)
 
 
-def test_counts_fade_so_that_a_replica_left_out_is_tried_again():
+def test_counts_decay_so_that_an_excluded_replica_is_tried_again():
     clock = [100.0]
     counts = outcomes.Outcomes(lambda: clock[0])
     for _ in range(8):
         counts.record_failed("a")
         counts.record_answered("b")
-    assert outcomes.failing_replicas({n: counts.counts_of(n) for n in "ab"}) == ["a"]
+    assert outcomes.failing_replicas({name: counts.counts_of(name) for name in "ab"}) == ["a"]
     clock[0] += 2 * constants.OUTCOME_HALF_LIFE_S
     assert counts.counts_of("a").failed == pytest.approx(2.0)
-    assert outcomes.failing_replicas({n: counts.counts_of(n) for n in "ab"}) == []
+    assert outcomes.failing_replicas({name: counts.counts_of(name) for name in "ab"}) == []
     clock[0] += 2 * constants.MAX_HALF_LIVES * constants.OUTCOME_HALF_LIFE_S
     counts.record_answered("c")
-    assert counts.counts_of("a").failed < 1e-9 and set(counts.counts.sums) == {
-        "c"
-    }  # and what has faded away is forgotten
-
-
-def test_what_other_routers_saw_fail_counts_here_too():
-    placement, pool = test_delivery_placing.placed(["p1", "d1", "d2", "d3"])
-    told = {"d1": test_delivery_placing.usage(0), "d2": test_delivery_placing.usage(3)}
-    told["d1"].failed, told["d2"].answered = 4.0, 4.0
-    placement.update_remote_loads(1, told)
-    chosen = {
-        placement.reserve_pair(
-            1, test_delivery_placing.DOCUMENT, "main", test_delivery_placing.ask()
-        ).decode_replica.name
-        for _ in range(4)
-    }
-    assert "d1" not in chosen  # though it has the least running
+    # counts that decayed to nothing are dropped
+    assert counts.counts_of("a").failed < 1e-9 and set(counts.counts.sums) == {"c"}
+
+
+def test_failures_reported_by_other_routers_count():
+    placement, pool = test_delivery_placing.make_placement(["p1", "d1", "d2", "d3"])
+    loads = {"d1": test_delivery_placing.load(0), "d2": test_delivery_placing.load(3)}
+    loads["d1"].failed, loads["d2"].answered = 4.0, 4.0
+    placement.update_remote_loads(1, loads)
+    document, request = test_delivery_placing.DOCUMENT, test_delivery_placing.make_request()
+    chosen = {placement.reserve_pair(1, document, "main", request).decode_replica.name for _ in range(4)}
+    assert "d1" not in chosen  # although it has the fewest requests
     pool.time += constants.LOAD_TTL_S + 0.1
     placement.replicas.mine.clear()
     assert placement.without_failing(["d1", "d2"]) == ["d1", "d2"]
@@ -85,15 +80,15 @@
     found.stop()
 
 
-def test_a_replica_that_fails_all_its_requests_soon_gets_no_more(site, monkeypatch):
-    monkeypatch.setattr(site.router.placement.outcomes.counts, "half_s", 1e9)  # however slow the machine
+def test_a_replica_that_fails_all_requests_soon_gets_no_more(site, monkeypatch):
+    monkeypatch.setattr(site.router.placement.outcomes.counts, "half_s", 1e9)  # no decay, however slow the machine
     host, (bad, *good) = site.service("ddd", engine=False, kind="repeatable", tries=1)
     bad.always = {"own": 500}
     statuses = [site.ask(host, prompt=False)[1].status for _ in range(60)]
     assert statuses.count(500) == len(bad.asked) <= 3
 
 
-def test_replicas_that_all_fail_alike_go_on_being_asked(site):
+def test_replicas_that_all_fail_alike_still_get_requests(site):
     host, replicas = site.service("ddd", engine=False, kind="repeatable", tries=1)
     for replica in replicas:
         replica.always = {"own": 500}
--- a/tests/test_plan_over_changes.py
+++ b/tests/test_plan_over_changes.py
@@ -1,4 +1,4 @@
-"""A configuration that changes between the reading of a prompt and its decode, over real sockets."""
+"""Configuration changes between the prefill and the decode of a request, over real sockets."""
 
 import copy
 
@@ -16,25 +16,25 @@
     found.stop()
 
 
-def while_reading(reader, act):
-    """act() runs once, while the reader holds its first prompt."""
-    take, done = reader.take, []
+def during_prefill(prefill_replica, action):
+    """Call action() once, while the replica serves its first prefill."""
+    serve, called = prefill_replica.take, []
 
-    def once(conn, request, fault):
-        if not done:
-            done.append(True)
-            act()
-        return take(conn, request, fault)
+    def serve_and_act(conn, request, fault):
+        if not called:
+            called.append(True)
+            action()
+        return serve(conn, request, fault)
 
-    reader.take = once
+    prefill_replica.take = serve_and_act
 
 
-def legs(replicas, leg):
-    return sum(request.get("Leg", "decode") == leg for r in replicas for request in r.asked)
+def count_requests(replicas, leg):
+    return sum(request.get("Leg", "decode") == leg for replica in replicas for request in replica.asked)
 
 
 @pytest.mark.parametrize(
-    "act",
+    "action",
     [
         lambda site, name: site.lease.change([platform_site.route("r-new", "elsewhere.example", name)]),
         lambda site, name: site.lease.change(caps={"quiet_ms": 9000}),
@@ -44,38 +44,42 @@
     ],
     ids=["a route added", "other limits", "its own deadline"],
 )
-def test_a_change_that_leaves_the_route_alone_reads_no_prompt_again(site, act):
+def test_a_change_that_does_not_affect_the_route_does_not_repeat_the_prefill(site, action):
     host, replicas = site.service("pd")
-    while_reading(replicas[0], lambda: act(site, replicas[0].depot))
-    own, answer = site.ask(host)
-    assert answer.status == 200 and len(site.platform.ran(own)) == 1
-    assert (legs(replicas, "prefill"), legs(replicas, "decode")) == (1, 1)
+    during_prefill(replicas[0], lambda: action(site, replicas[0].depot))
+    request_id, response = site.ask(host)
+    assert response.status == 200 and len(site.platform.ran(request_id)) == 1
+    assert (count_requests(replicas, "prefill"), count_requests(replicas, "decode")) == (1, 1)
 
 
-def test_a_route_moved_meanwhile_goes_to_its_new_service(site):
+def test_a_request_whose_route_moves_during_the_prefill_goes_to_the_new_service(site):
     host, replicas = site.service("pd")
-    other_host, others = site.service("pd")
-    name, other = replicas[0].depot, others[0].depot
-    moved = platform_site.route(f"r-{name}", host, other)
-    while_reading(replicas[0], lambda: site.lease.change([moved], without=[f"r-{name}"]))
-    own, answer = site.ask(host)
-    assert answer.status == 200 and legs(replicas, "decode") == 0 and legs(others, "decode") == 1
-
-
-def test_a_route_dropped_meanwhile_is_not_run(site):
+    other_host, other_replicas = site.service("pd")
+    name, other_name = replicas[0].depot, other_replicas[0].depot
+    new_route = platform_site.route(f"r-{name}", host, other_name)
+    during_prefill(replicas[0], lambda: site.lease.change([new_route], without=[f"r-{name}"]))
+    request_id, response = site.ask(host)
+    assert (
+        response.status == 200
+        and count_requests(replicas, "decode") == 0
+        and count_requests(other_replicas, "decode") == 1
+    )
+
+
+def test_a_request_whose_route_is_removed_during_the_prefill_does_not_run(site):
     host, replicas = site.service("pd")
-    while_reading(replicas[0], lambda: site.lease.change(without=[f"r-{replicas[0].depot}"]))
-    own, answer = site.ask(host)
-    assert answer.status == 404 and site.platform.ran(own) == []
+    during_prefill(replicas[0], lambda: site.lease.change(without=[f"r-{replicas[0].depot}"]))
+    request_id, response = site.ask(host)
+    assert response.status == 404 and site.platform.ran(request_id) == []
 
 
-def test_a_lease_that_lapsed_for_a_moment_is_waited_for_with_the_prompt_read(site, monkeypatch):
+def test_a_decode_waits_for_a_lease_that_expired_during_the_prefill_to_be_renewed(site, monkeypatch):
     host, replicas = site.service("pd")
-    form, asked = site.lease.form, []
+    form, reads = site.lease.form, []
 
     def sequence():
-        asked.append(True)
-        if len(asked) > 2:
+        reads.append(True)
+        if len(reads) > 2:
             site.lease.form = form  # renewed
         return site.lease.form and site.lease.form[0]
 
@@ -83,17 +87,18 @@
         site.lease.form = None
         monkeypatch.setattr(site.lease, "sequence", sequence)
 
-    while_reading(replicas[0], lapse)
-    own, answer = site.ask(host)
-    assert answer.status == 200 and legs(replicas, "prefill") == 1
-    assert [bool(request.get("Cache-From")) for request in replicas[1].asked] == [True]  # it took what was read
+    during_prefill(replicas[0], lapse)
+    request_id, response = site.ask(host)
+    assert response.status == 200 and count_requests(replicas, "prefill") == 1
+    (decode,) = replicas[1].asked
+    assert decode.get("Cache-From")  # it used the exported KV memory
 
 
-def test_without_a_lease_a_read_prompt_is_not_sent_on(site, monkeypatch):
+def test_without_a_lease_no_decode_is_sent_after_the_prefill(site, monkeypatch):
     host, replicas = site.service("pd")
-    while_reading(replicas[0], lambda: monkeypatch.setattr(site.lease, "form", None))
-    own, answer = site.ask(host)
-    assert answer.status == 503 and legs(replicas, "decode") == 0 and site.platform.ran(own) == []
+    during_prefill(replicas[0], lambda: monkeypatch.setattr(site.lease, "form", None))
+    request_id, response = site.ask(host)
+    assert response.status == 503 and count_requests(replicas, "decode") == 0 and site.platform.ran(request_id) == []
 
 
 ROUTE = {
@@ -109,7 +114,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, stands",
+    "change, is_current",
     [
         ({}, True),
         ({"cutoff_s": 3, "aim_s": 1}, True),
@@ -122,10 +127,10 @@
         ({"prefix": "/x/"}, False),
     ],
 )
-def test_a_plan_stands_only_where_the_new_route_would_have_made_it(change, stands):
+def test_a_plan_is_current_only_if_the_new_route_would_lead_to_the_same_plan(change, is_current):
     document = copy.deepcopy(configuration.EXAMPLE)
     selector = document["pools"]["main"]["selector"]
-    assert routes.plan_is_current(ROUTE, {**ROUTE, **change}, "main", selector, document) == stands
+    assert routes.plan_is_current(ROUTE, {**ROUTE, **change}, "main", selector, document) == is_current
     assert not routes.plan_is_current(ROUTE, None, "main", selector, document)
     assert not routes.plan_is_current(ROUTE, ROUTE, "main", {"other": "labels"}, document)
     assert not routes.plan_is_current(ROUTE, ROUTE, "gone", selector, document)
--- a/tests/test_route_document_race.py
+++ b/tests/test_route_document_race.py
@@ -1,4 +1,4 @@
-"""A request is routed by one document, also while another thread takes up the next one between two of its steps."""
+"""A request is routed by one document, also if another thread applies the next one between two of its steps."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 class OvertakenLease(platform_site.Lease):
-    """Once armed, the next document comes into force right after a request has read the lease so many times."""
+    """Once armed, the next document comes into force after the lease was read a given number of times."""
 
     reads_left = 0
 
@@ -25,7 +25,7 @@
         return found
 
     def current(self):
-        found = self.form  # both of one moment, as the product's lease gives them
+        found = self.form  # a consistent pair, as of the real lease
         self.count_read()
         return found
 
@@ -39,16 +39,16 @@
 
 
 @pytest.mark.parametrize("reads", [1, 2, 3])
-def test_route_a_request_that_a_new_document_overtakes_goes_to_the_new_service(site, reads):
+def test_a_request_overtaken_by_a_new_document_goes_to_the_new_service(site, reads):
     host, old_replicas = site.service("pd")
     other_host, new_replicas = site.service("pd")
     old_name, new_name = host.partition(".")[0], other_host.partition(".")[0]
-    assert site.ask(host)[1].status == 200  # the table of this document is known
+    assert site.ask(host)[1].status == 200  # the route table of this document is now cached
     served = platform_site.asked(old_replicas)
     row = next(row for row in site.lease.said["itineraries"] if row["host"] == host)
 
     def move_route():
-        """The route goes to the other service, and the depot that it had is gone."""
+        """Move the route to the other service, and remove its former pool."""
         depots = [row for row in site.lease.said["depots"] if row["name"] != old_name]
         site.lease.said = {**site.lease.said, "depots": depots}
         site.lease.change([{**row, "depot": new_name}], without=[row["name"]])
--- a/tests/test_route_tables.py
+++ b/tests/test_route_tables.py
@@ -1,4 +1,4 @@
-"""The table of routes that threads share while the configuration changes."""
+"""Route tables shared by threads while the configuration changes."""
 
 import mothshed.data_plane.routes as routes
 
@@ -8,7 +8,7 @@
 
 
 class InterruptedTables(routes.RouteTables):
-    """Once armed, another thread asks for the next document's table right after each attribute is set."""
+    """Once armed, simulates another thread that asks for the next table after each attribute assignment."""
 
     armed = False
 
@@ -20,7 +20,7 @@
             type(self).armed = name != "sequence"
 
 
-def test_config_a_table_is_that_of_the_sequence_asked_for_while_another_thread_asks_for_the_next():
+def test_table_for_returns_the_requested_sequence_while_another_thread_requests_the_next():
     tables = InterruptedTables()
     InterruptedTables.armed = True
     assert tables.table_for(1, document("old")).match("h", "/")["name"] == "old"
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -156,43 +156,56 @@
 
 
 def plain_service(count, cells=None):
-    """Placing over replicas that have no role, r1, r2 .., of one slot less than eight; and its document."""
-    one, pool = test_delivery_placing.placed([f"r{n + 1}" for n in range(count)], cells)
-    for row in one.replicas.rows.values():
+    """A Placement over replicas that have no role, r1, r2 .., of one slot less than eight; and its document."""
+    placement, pool = test_delivery_placing.make_placement([f"r{n + 1}" for n in range(count)], cells)
+    for row in placement.replicas.rows.values():
         row["role"], row["slots"] = "none", 2
-    return one, {"pools": {"plain": {"selector": {"service": "s"}, "split": False}}}
+    return placement, {"pools": {"plain": {"selector": {"service": "s"}, "split": False}}}
 
 
 def test_requests_of_a_service_without_a_model_are_spread_and_never_exceed_the_known_slots():
-    one, document = plain_service(3)
+    placement, document = plain_service(3)
     taken = [
-        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name for _ in range(6)
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
+        for _ in range(6)
     ]
     assert sorted(taken) == ["r1", "r1", "r2", "r2", "r3", "r3"]
     with pytest.raises(replica_pair.QueueFull):
-        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ()))
-    assert sum(one.replicas.mine.values()) == 6
-    one.replicas.end("r2")
-    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ()))
+    assert sum(placement.replicas.mine.values()) == 6
+    placement.replicas.end("r2")
+    assert (
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
+        == "r2"
+    )
 
 
 def test_what_other_routers_have_at_a_service_without_a_model_counts_against_its_slots():
-    one, document = plain_service(2)
-    one.update_remote_loads(1, {"r1": test_delivery_placing.usage(2), "r2": test_delivery_placing.usage(1)})
-    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
+    placement, document = plain_service(2)
+    placement.update_remote_loads(1, {"r1": test_delivery_placing.load(2), "r2": test_delivery_placing.load(1)})
+    assert (
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
+        == "r2"
+    )
     with pytest.raises(replica_pair.QueueFull):
-        one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ()))
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ()))
 
 
 def test_a_service_without_a_model_is_served_in_the_routers_own_zone_while_that_is_no_busier():
-    one, document = plain_service(3, {"r1": "b", "r2": "a", "r3": "b"})
-    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r2"
-    one, document = plain_service(2, {"r1": "b", "r2": "a"})
-    one.update_remote_loads(1, {"r2": test_delivery_placing.usage(2)})
-    assert one.reserve_pair(1, document, "plain", test_delivery_placing.ask(0, ())).decode_replica.name == "r1"
+    placement, document = plain_service(3, {"r1": "b", "r2": "a", "r3": "b"})
+    assert (
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
+        == "r2"
+    )
+    placement, document = plain_service(2, {"r1": "b", "r2": "a"})
+    placement.update_remote_loads(1, {"r2": test_delivery_placing.load(2)})
+    assert (
+        placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
+        == "r1"
+    )
 
 
 def test_a_prompt_to_a_service_without_a_model_is_read_by_nobody_ahead():
-    one, document = plain_service(2)
-    pair = one.reserve_pair(1, document, "plain", test_delivery_placing.ask())
+    placement, document = plain_service(2)
+    pair = placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request())
     assert pair.prefill_replica is None and pair.uncached_tokens == 0
