--- a/mothshed/control_plane/member.py
+++ b/mothshed/control_plane/member.py
@@ -34,40 +34,40 @@
         initial_addresses,
         machine,
         known_addresses=lambda: [],
-        bounds=None,
+        failure_tolerance=None,
     ):
         self.environment, self.part, self.member_id, self.http = environment, part, member_id, http
         self.address = environment.address
         self.initial_addresses = list(initial_addresses)
         self.known_addresses = known_addresses  # addresses of keepers from hints
         self.machine = machine  # apply(index, command), dump(), restore(state)
-        self.bounds = bounds or reconfiguration.Bounds()
-        self.failed = lambda: None  # told once the disk has failed
-        self.disk_lost = False  # whether this member stopped for that
+        self.failure_tolerance = failure_tolerance or reconfiguration.FailureTolerance()
+        self.disk_fault_callback = lambda: None  # told once the disk has failed
+        self.stopped_by_disk_fault = False  # whether this member stopped for that
         self.leader_tasks = []  # start() when leader, stop() when not
         self.log = disk_log.PartLog(disk, part)
         self.chart = charts.load("member")
         self.leader = ""
-        self.commit = self.applied = 0
+        self.commit_index = self.last_applied = 0
         self.last_addresses = {}  # id -> address heard of lately
-        self.pending_proposals = {}  # index -> (term, call)
+        self.pending_proposals = {}  # index -> (term, callback)
         self.last_contact = environment.now()  # also after a start: an old promise may still hold
         self.by_transfer = False  # whether this member stood because its leader named it
         self.membership = membership.Membership()
         if self.log.snapshot:
             machine.restore(self.log.snapshot["state"])
-            self.commit = self.applied = self.log.snapshot["index"]
+            self.commit_index = self.last_applied = self.log.snapshot["index"]
         self.init_election()
         self.reset_replication()
         self.init_following()
         self.init_reconfiguration()
-        self.read_members()
+        self.refresh_membership()
         if self.members:
             self.chart.step("birth")
             if self.member_id not in self.members:
                 self.chart.step("learn")
 
-    def begin(self):
+    def start(self):
         for kind in (
             "vote_ask",
             "vote_say",
@@ -82,26 +82,26 @@
             "leave",
             "leave_say",
         ):
-            self.environment.subscribe(kind, self.guard(getattr(self, "on_" + kind)), self.part)
+            self.environment.subscribe(kind, self.handle_disk_faults(getattr(self, "on_" + kind)), self.part)
         self.environment.post(self.tick)
 
-    def guard(self, call):
-        def run(*args):
+    def handle_disk_faults(self, callback):
+        def run_callback(*args):
             if self.chart.state == "stopped":
                 return
             try:
-                call(*args)
-            except disk_module.DiskFault as e:
-                self.fail_disk(e)
+                callback(*args)
+            except disk_module.DiskFault as error:
+                self.fail_disk(error)
 
-        return run
+        return run_callback
 
-    def fail_disk(self, e):
+    def fail_disk(self, error):
         """What is on the disk is not known any more: this member takes no further part."""
-        log_buffer.failure("disk_fault", e, part=self.part)
+        log_buffer.failure("disk_fault", error, part=self.part)
         self.stop()
-        self.disk_lost = True
-        self.failed()
+        self.stopped_by_disk_fault = True
+        self.disk_fault_callback()
 
     @property
     def is_leader(self):
@@ -110,17 +110,17 @@
     @property
     def members(self):
         """Everyone whose vote counts now, id -> {"address", "http"}."""
-        return self.membership.everyone
+        return self.membership.all_voters
 
-    def read_members(self):
+    def refresh_membership(self):
         """The latest membership in the log counts, committed or not."""
-        former = self.membership
-        self.membership, self.members_at = self.membership_at(self.log.last)
-        if self.membership != former:
+        previous = self.membership
+        self.membership, self.membership_index = self.membership_at(self.log.last)
+        if self.membership != previous:
             self.report_voters()
         if self.is_leader:
-            kept = set(self.targets())
-            self.progress = {member: row for member, row in self.progress.items() if member in kept}
+            replicated = set(self.targets())
+            self.progress = {member: row for member, row in self.progress.items() if member in replicated}
         if self.members and self.chart.state not in ("empty", "stopped"):
             self.chart.step("admit" if self.member_id in self.members else "learn")
 
@@ -149,89 +149,89 @@
         return self.members.get(member_id, {}).get("address", "")
 
     def other_members(self):
-        return [m for m in self.members if m != self.member_id]
+        return [member_id for member_id in self.members if member_id != self.member_id]
 
     def send(self, member_id, kind, **body):
         self.environment.send(self.address_of(member_id), kind, part=self.part, who=self.member_id, **body)
 
-    def propose(self, command, call=lambda result: None):
-        """call(result) once committed and applied; call(None): not known, read back."""
+    def propose(self, command, callback=lambda result: None):
+        """call(result) once committed and applied; callback(None): not known, read back."""
         if not self.is_leader:
-            call(None)
+            callback(None)
             return
         index = self.log.last + 1
-        self.pending_proposals[index] = (self.log.term, call)
+        self.pending_proposals[index] = (self.log.term, callback)
         try:
             self.log.put([{"i": index, "t": self.log.term, "c": command}])
-        except disk_module.DiskFault as e:
-            self.fail_disk(e)
+        except disk_module.DiskFault as error:
+            self.fail_disk(error)
             return
         if command.get("op") == "members":
-            self.read_members()
-        self.count_commit()
+            self.refresh_membership()
+        self.advance_commit_index()
         self.replicate()
 
     def apply_all(self):
-        while self.applied < self.commit:
-            index = self.applied = self.applied + 1  # applying may commit, and so apply, the next one
+        while self.last_applied < self.commit_index:
+            index = self.last_applied = self.last_applied + 1  # applying may commit, and so apply, the next one
             body = self.log.get(index)
-            if not self.understands(body["c"]):
-                self.stop_for_newer_release(index, body["c"])
+            if not self.can_apply(body["c"]):
+                self.stop_at_unknown_command(index, body["c"])
                 return
-            term, call = self.pending_proposals.pop(index, (None, None))
+            term, callback = self.pending_proposals.pop(index, (None, None))
             result = self.machine.apply(index, body["c"])
-            if call:
-                call(result if term == body["t"] else None)
+            if callback:
+                callback(result if term == body["t"] else None)
         if self.snapshot_due():
             self.take_snapshot()
 
-    def understands(self, command: dict[str, typing.Any]) -> bool:
+    def can_apply(self, command: dict[str, typing.Any]) -> bool:
         """Whether this release can apply a command."""
         return command["op"] in GROUP_COMMANDS or command["op"] in self.machine.commands
 
-    def stop_for_newer_release(self, index: int, command: dict[str, typing.Any]) -> None:
+    def stop_at_unknown_command(self, index: int, command: dict[str, typing.Any]) -> None:
         """A later release committed a command that this one cannot apply: going on, its state would differ."""
         log_buffer.report("command_not_understood", part=self.part, index=index, op=command["op"])
-        self.applied = index - 1
+        self.last_applied = index - 1
         self.stop()
 
     def snapshot_due(self):
         """Whether enough entries, or bytes of them, stand after the newest snapshot."""
-        since = self.applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
+        since = self.last_applied - (self.log.snapshot["index"] if self.log.snapshot else 0)
         return since >= constants.SNAPSHOT_INTERVAL_ENTRIES or (
             since > 0 and self.log.bytes_since_snapshot > constants.SNAPSHOT_INTERVAL_BYTES
         )
 
     def take_snapshot(self):
         snapshot = {
-            "index": self.applied,
-            "term": self.log.term_at(self.applied),
-            "membership": self.membership_at(self.applied)[0].command(),
+            "index": self.last_applied,
+            "term": self.log.term_at(self.last_applied),
+            "membership": self.membership_at(self.last_applied)[0].command(),
             "state": self.machine.dump(),
         }
-        keep = max(self.log.base, self.applied - constants.MAX_RETAINED_LOG_ENTRIES)
+        keep = max(self.log.base, self.last_applied - constants.MAX_RETAINED_LOG_ENTRIES)
         self.log.put_snapshot(snapshot, keep)
 
     def not_committed_before(self, index: int) -> float | None:
         """The latest moment on this clock before which an entry surely was not committed; None if not known."""
         term = self.log.term_at(index)
-        return None if term is None else self.commit_moments.not_committed_before(term, index)
+        return None if term is None else self.commit_time_bounds.not_committed_before(term, index)
 
     def lose_leadership(self):
         """No longer leader: waiting writes are unknown, waiting reads fail."""
         pending, self.pending_proposals = self.pending_proposals, {}
-        for term, call in pending.values():
-            call(None)
+        for _term, callback in pending.values():
+            callback(None)
         self.fail_pending_reads()
-        for duty in self.leader_tasks:
-            duty.stop()
+        for task in self.leader_tasks:
+            task.stop()
 
     def stop(self):
         if self.chart.state == "stopped":
             return
-        was = self.is_leader
+        was_leader = self.is_leader
         self.chart.step("stop")
-        if was:
+        if was_leader:
             self.lose_leadership()
 
     def condition(self):
@@ -240,8 +240,8 @@
             "state": self.chart.state,
             "term": self.log.term,
             "leader": self.leader,
-            "commit": self.commit,
+            "commit": self.commit_index,
             "last": self.log.last,
             "members": sorted(self.members),
-            "seats": {m: seat["http"] for m, seat in self.members.items()},
+            "seats": {member_id: endpoint["http"] for member_id, endpoint in self.members.items()},
         }
--- a/mothshed/data_plane/delivery.py
+++ b/mothshed/data_plane/delivery.py
@@ -82,13 +82,13 @@
 
     def release(self):
         if self.handle:
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
         if self.reply:
             self.record_late_work("worked_after_caller_left", "decode")
             self.reply.close()
         if self.pair:
             self.router.placement.finish_prefill(self.pair)
-            self.router.replicas.end(self.pair.decode_replica.name)
+            self.router.replicas.request_ended(self.pair.decode_replica.name)
         self.handle = self.reply = self.pair = None
 
     def abandon(self, reason):
@@ -186,9 +186,9 @@
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(error), name) from error
         self.router.placement.finish_prefill(pair)
         if self.handle:  # the KV memory was transferred
-            self.router.frees.order(self.handle)
+            self.router.handle_releases.enqueue(self.handle)
             self.handle = None
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         self.router.placement.outcomes.record_answered(name)
         if self.request.parts:
             self.router.placement.prefix_cache.add(name, self.request.parts)
@@ -227,13 +227,13 @@
             self.record_event_interval()
             if event_id is not None:
                 if self.last_event_id is not None and event_id <= self.last_event_id:
-                    raise verdict.StreamBroken("an event came twice")
+                    raise verdict.StreamInterrupted("an event came twice")
                 self.last_event_id = event_id
             with self.pauses.watch(pauses_module.PauseCause.CALLER):
                 yield event
 
     def resume(self):
-        """Remaining events of a broken resumable stream, from another replica; raises StreamBroken if there is none."""
+        """Remaining events of a broken resumable stream, from another replica; raises StreamInterrupted if none."""
         while self.repeatable and self.last_event_id is not None and self.may_retry():
             try:
                 reply, first_event, event_id, remaining_events = self.attempt()
@@ -247,4 +247,4 @@
                 self.record_failure(error)
             except verdict.Rejection:
                 break
-        raise verdict.StreamBroken(str(self.failures[-1]) if self.failures else "stream broke")
+        raise verdict.StreamInterrupted(str(self.failures[-1]) if self.failures else "stream broke")
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -31,7 +31,7 @@
                 return False
             self.record_late_work("sent_after_caller_left", role)
             if not (self.prefills_sent or self.decodes_sent):
-                self.router.budget.sent()
+                self.router.retry_budget.record_request()
             if role == "prefill":
                 self.prefills_sent += 1
             else:
@@ -43,9 +43,9 @@
         return ready
 
     def raise_if_caller_left(self) -> None:
-        """Raise CallerLeft if the caller disconnected: a failure then says nothing about the replica."""
+        """Raise CallerDisconnected if the caller disconnected: a failure then says nothing about the replica."""
         if self.request.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def record_late_work(self, kind: str, stage: str) -> None:
         """Count work done more than CLIENT_DISCONNECT_GRACE_S after the caller disconnected."""
@@ -95,7 +95,7 @@
         extra = self.counted_sends > 0 if role == "decode" else self.prefills_sent > 0
         if role == "decode" and self.decodes_sent + self.rejected_prefills >= self.route["tries"]:
             self.abandon("as many replicas were asked as the route allows")
-        if extra and not self.router.budget.extra():
+        if extra and not self.router.retry_budget.take_or_borrow():
             self.abandon("retry budget is spent")
 
     def has_prefill_replica(self):
@@ -107,14 +107,14 @@
         if "Timeout" in error.reason and error.verdict is not NOT_RUN:
             self.environment.spawn(lambda: self.probe_connection(replica))
         elif error.verdict is not NOT_RUN or error.reason.startswith(("NewConnection", "ConnectTimeout")):
-            self.router.replicas.failed(replica.name)
+            self.router.replicas.mark_failed(replica.name)
 
     def probe_connection(self, replica):
         """Exclude a replica that timed out if it does not accept a connection; otherwise it is only busy."""
         try:
             self.environment.kept.look(replica.url.removeprefix("http://"))
         except web.WebFault:
-            self.router.replicas.failed(replica.name)
+            self.router.replicas.mark_failed(replica.name)
 
     def prefill(self, pair):
         """The handle of the exported KV memory, or None if the decode replica has to prefill the prompt itself."""
@@ -160,7 +160,7 @@
         self.router.placement.record_prefill(
             name, uncached_tokens, pair.queued_tokens, self.environment.now() - started_at
         )
-        self.router.replicas.served(name)
+        self.router.replicas.mark_succeeded(name)
         return handle
 
     def first_event_timeout(self):
@@ -187,12 +187,12 @@
             self.router.placement.running(pair.decode_replica.name)
             <= self.router.replicas.rows[pair.decode_replica.name]["slots"]
         )
-        return has_room and self.is_available(pair.decode_replica) and self.router.budget.extra()
+        return has_room and self.is_available(pair.decode_replica) and self.router.retry_budget.take_or_borrow()
 
     def drop_handle(self, error: verdict.SendFailure) -> None:
         """Release the KV memory after its transfer failed, and do not count the failed send as a try."""
         self.failures.append(error)
-        self.router.frees.order(self.handle)
+        self.router.handle_releases.enqueue(self.handle)
         self.handle = None
         self.decodes_sent -= 1  # the tries of the route count replicas, and the next send goes to the same one
         self.router.journal.add(
--- a/mothshed/data_plane/usage_share.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -12,7 +12,7 @@
 import mothshed.replicas.replica_load as replica_load
 
 
-class UsageShare:
+class LoadReporter:
     def __init__(self, environment, replicas, placement):
         self.environment, self.replicas, self.placement = environment, replicas, placement
         self.leaders = replicas.leaders
@@ -27,10 +27,14 @@
         with self.replicas.lock:
             for name, row in self.replicas.rows.items():
                 part = found.setdefault(parts.part_of(row["service"]), {})
-                out = max(0.0, self.replicas.doubts.get(name, 0) - now) if name in self.replicas.fails else 0.0
+                out = (
+                    max(0.0, self.replicas.suspected_until.get(name, 0) - now)
+                    if name in self.replicas.consecutive_failures
+                    else 0.0
+                )
                 ended = self.placement.outcomes.counts_of(name)
                 own = replica_load.ReplicaLoad(
-                    self.replicas.mine.get(name, 0),
+                    self.replicas.own_requests.get(name, 0),
                     out,
                     ended.answered,
                     ended.failed,
@@ -48,7 +52,7 @@
         for part, own in rows.items():
             self.mark += 1
             self.environment.send(
-                self.leaders.ask(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
+                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
             )
         busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
         self.environment.call_later(
@@ -56,5 +60,5 @@
         )
 
     def on_usages(self, sender, body):
-        self.leaders.heard(body["part"], sender)
+        self.leaders.note_response(body["part"], sender)
         self.placement.update_remote_loads(body["part"], replica_load.from_wire(body["rows"]))
--- a/mothshed/data_plane/placement.py
+++ b/mothshed/data_plane/placement.py
@@ -47,12 +47,12 @@
         with self.lock:
             self.remote_loads[part] = (now, loads)
         for name, load in loads.items():
-            if load.out_s > constants.LOAD_REPORT_INTERVAL_S and name not in self.replicas.fails:
-                self.replicas.doubt(name, min(load.out_s, constants.MAX_EXCLUSION_S))
+            if load.out_s > constants.LOAD_REPORT_INTERVAL_S and name not in self.replicas.consecutive_failures:
+                self.replicas.suspect(name, min(load.out_s, constants.MAX_EXCLUSION_S))
 
     def running(self, name: str) -> float:
         """Known requests of all routers at a replica."""
-        return float(self.replicas.mine.get(name, 0) + sum(load.requests for load in self.reported(name)))
+        return float(self.replicas.own_requests.get(name, 0) + sum(load.requests for load in self.reported(name)))
 
     def queued_tokens(self, name: str) -> float:
         """Known prompt tokens of all routers that a replica has to prefill."""
@@ -217,26 +217,26 @@
             decodes = [name for name in usable if name not in excluded] or list(usable)
             if not decodes:
                 return
-            name = self.choose_decode(decodes, pair.prefill_replica.cell if pair.prefill_replica else self.zone)
-            self.replicas.end(pair.decode_replica.name)
-            self.replicas.begin(name)
-            pair.decode_replica = self.replicas.place(name)
+            name = self.choose_decode(decodes, pair.prefill_replica.zone if pair.prefill_replica else self.zone)
+            self.replicas.request_ended(pair.decode_replica.name)
+            self.replicas.request_started(name)
+            pair.decode_replica = self.replicas.endpoint(name)
 
     def reserve(
         self, sequence: int, pool: str, request: Request, prefill: str | None, decode: str, uncached: int, wait_s: float
     ) -> replica_pair.ReplicaPair:
         """Reserve the slots of a pair, and queue its prompt. wait_s: until it is prefilled."""
-        self.replicas.begin(decode)
+        self.replicas.request_started(decode)
         if prefill:
-            self.replicas.begin(prefill)
+            self.replicas.request_started(prefill)
         name = prefill or decode
         queued = self.queued_tokens(name)
         rate = self.prefill_rate(name) * (1.0 if prefill else constants.DECODE_PREFILL_RATIO)
         rank = self.rank(request, uncached / rate)
         self.backlog[name][rank] += uncached
-        place = self.replicas.place
-        prefill_place = place(prefill) if prefill else None
-        return replica_pair.ReplicaPair(sequence, pool, prefill_place, place(decode), uncached, wait_s, queued, rank)
+        endpoint = self.replicas.endpoint
+        source = endpoint(prefill) if prefill else None
+        return replica_pair.ReplicaPair(sequence, pool, source, endpoint(decode), uncached, wait_s, queued, rank)
 
     def finish_prefill(self, pair: replica_pair.ReplicaPair) -> None:
         """Release what the prefill of a pair holds, however it ended; repeatable."""
@@ -245,5 +245,5 @@
             self.backlog[name][pair.rank] = max(0, self.backlog[name][pair.rank] - pair.uncached_tokens)
             pair.uncached_tokens = 0
             if pair.prefill_replica and not pair.prefill_ended:
-                self.replicas.end(name)
+                self.replicas.request_ended(name)
                 pair.prefill_ended = True
--- a/mothshed/data_plane/replica_pair.py
+++ b/mothshed/data_plane/replica_pair.py
@@ -11,8 +11,8 @@
 
     sequence: int
     pool: str
-    prefill_replica: replicas.Place | None
-    decode_replica: replicas.Place
+    prefill_replica: replicas.Endpoint | None
+    decode_replica: replicas.Endpoint
     uncached_tokens: float  # prompt tokens that are expected to be prefilled
     expected_prefill_s: float  # until the prompt is prefilled
     queued_tokens: float = 0  # tokens already queued at the replica when the pair was reserved
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -93,7 +93,7 @@
         return ResponseBody(router, delivery, response_start)
 
     def read_request(self, environ, arrived_at, caller):
-        """The request; raises Rejection if it can't be delivered, CallerLeft if the caller disconnected."""
+        """The request; raises Rejection if it can't be delivered, CallerDisconnected if the caller disconnected."""
         headers, router = environ["mothshed.headers"], self.router
         limits = (router.lease.document() or {}).get("limits", {})
         body = front.body_of(environ, limits.get("body_bytes", constants.MAX_BODY_BYTES))
@@ -151,8 +151,10 @@
             if error.status == 503:
                 add("refusal", outcome=error.reason.replace(" ", "_"))
             challenge = identity_module.challenge_headers(error.status)
-            return self.error_response(start_response, error.status, error.reason, error.retry, headers=challenge)
-        if isinstance(error, verdict.CallerLeft):
+            return self.error_response(
+                start_response, error.status, error.reason, error.retry_after_s, headers=challenge
+            )
+        if isinstance(error, verdict.CallerDisconnected):
             add("delivery", outcome="left")
             return self.error_response(start_response, 502, "the caller hung up", 0, "may_have_run")
         if isinstance(error, verdict.RequestFailure):
@@ -183,7 +185,7 @@
         except StopIteration:
             self.outcome = "done"
             raise
-        except verdict.StreamBroken:
+        except verdict.StreamInterrupted:
             self.outcome = "broken"
             raise
 
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -7,20 +7,20 @@
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.budget as budget
-import mothshed.data_plane.frees as frees
-import mothshed.data_plane.guard as guard
+import mothshed.data_plane.backup_releases as backup_releases
+import mothshed.data_plane.handle_releases as handle_releases
+import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placement as placement
+import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
-import mothshed.data_plane.usage_share as usage_share
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.leaders as leaders
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.counters as counters
@@ -36,26 +36,32 @@
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
+            listed_replicas.ListedReplicas(
+                environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers()
+            )
             if speech
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
-        self.replicas.sharers = self.gossip.count_routers
+        self.replicas.router_count = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
         self.admission = admission.Admission(environment)
-        self.budget = budget.Budget(
+        self.retry_budget = retry_budget.RetryBudget(
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
-        self.frees = frees.Frees(environment, self.journal, (speech or replica_adapter).free)
+        self.handle_releases = handle_releases.HandleReleases(
+            environment, self.journal, (speech or replica_adapter).release_handle
+        )
         self.placement = placement.Placement(environment, self.replicas, self.cell)
         self.tables = routes.RouteTables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.usage = usage_share.UsageShare(environment, self.replicas, self.placement)
-        self.guard = guard.Guard(environment, self.gossip, self.frees, self.journal)
+            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placement)
+        self.backup_releases = backup_releases.BackupReleases(
+            environment, self.gossip, self.handle_releases, self.journal
+        )
         self.flight = 0
         self.held_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
@@ -63,7 +69,7 @@
 
     def run(self):
         self.replicas.run()
-        self.environment.spawn(self.frees.run)
+        self.environment.spawn(self.handle_releases.run)
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     @contextlib.contextmanager
@@ -89,12 +95,12 @@
             self.flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
+        """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
         until = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
         return self.lease.current()
 
     def drain(self, most):
@@ -112,7 +118,12 @@
 
     def busy(self):
         """Whether a request or its answer is under way, or a free is left to be sent."""
-        return self.flight > 0 or self.frees.left() > 0 or self.server is not None and self.server.exchanging()
+        return (
+            self.flight > 0
+            or self.handle_releases.count_pending() > 0
+            or self.server is not None
+            and self.server.exchanging()
+        )
 
     def ready(self):
         """Whether new user agents are welcome."""
@@ -134,10 +145,10 @@
             "active": self.lease.active,
             "staged": self.lease.staged,
             "flight": self.flight,
-            "waiting": self.admission.waiting(),
-            "frees_left": self.frees.left(),
-            "extra_sends_left": self.budget.left(),
-            "kept_for_neighbours": len(self.guard.kept),
+            "waiting": self.admission.queued_count(),
+            "frees_left": self.handle_releases.count_pending(),
+            "extra_sends_left": self.retry_budget.rounded_available(),
+            "kept_for_neighbours": len(self.backup_releases.entries),
             "process": self.environment.figures(),
             "releases": self.environment.releases(),
             "neighbours": sorted(self.gossip.view),
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/sends.py
@@ -59,7 +59,7 @@
         raise refusal
 
     def take_permit(self) -> None:
-        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerLeft."""
+        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerDisconnected."""
         request = self.request
         if request.identity is None:
             return
@@ -81,16 +81,16 @@
             if self.router.lease.sequence() != sequence:
                 return False
             if not any(self.sends.values()):
-                self.router.budget.sent()
+                self.router.retry_budget.record_request()
             self.sends[role] += 1
             return True
 
         return check
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerLeft if nobody waits for the answer any more."""
+        """Raises CallerDisconnected if nobody waits for the answer any more."""
         if self.request.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def left(self):
         left = self.request.cutoff - self.environment.now()
@@ -109,7 +109,7 @@
         replicas, request = self.router.replicas, self.request
         until = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
         for name in (self.reading, self.writing):
-            replicas.end(name)
+            replicas.request_ended(name)
         self.reading = self.writing = None
         while True:
             self.stop_if_caller_left()
@@ -117,10 +117,10 @@
                 fresh = planning.make(replicas, sequence, document, request, self.router.cell, self.without)
                 if fresh:
                     plan.sequence, plan.pool, plan.policy = sequence, fresh.pool, fresh.policy
-                    plan.reader, plan.writer = fresh.reader, fresh.writer
-                    self.reading, self.writing = plan.reader.name, plan.writer.name
-                    replicas.begin(self.reading)
-                    replicas.begin(self.writing)
+                    plan.prefill_replica, plan.decode_replica = fresh.prefill_replica, fresh.decode_replica
+                    self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
+                    replicas.request_started(self.reading)
+                    replicas.request_started(self.writing)
                     return
             if self.environment.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
@@ -136,18 +136,26 @@
                 self.replan(plan, sequence, document)
                 continue
             left, name = self.left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0), self.name()
-            self.router.guard.owe(name, plan.reader, self.request.cutoff - self.environment.now())
+            self.router.backup_releases.register(
+                name, plan.prefill_replica, self.request.cutoff - self.environment.now()
+            )
             try:
                 self.handle = replica_adapter.prefill(
-                    self.environment, self.request, name, plan.reader, sequence, left, self.ready(sequence, "prefill")
+                    self.environment,
+                    self.request,
+                    name,
+                    plan.prefill_replica,
+                    sequence,
+                    left,
+                    self.ready(sequence, "prefill"),
                 )
                 break
             except verdict.SendFailure as e:
-                doubt = replica_adapter.unheard(self.environment, name, plan.reader)
+                doubt = replica_adapter.unconfirmed_handle(self.environment, name, plan.prefill_replica)
                 if e.verdict is NOT_RUN:
-                    self.router.guard.paid(doubt)
+                    self.router.backup_releases.cancel(doubt)
                 else:  # it may hold, or come to hold, what we never heard of
-                    self.router.frees.order(doubt)
+                    self.router.handle_releases.enqueue(doubt)
                 if e.reason != web.NOT_READY:  # else nothing was sent: under the newer one, or later
                     raise
         self.ran = True  # a prefill is a run
@@ -156,11 +164,13 @@
     def decode(self, plan):
         """Decodes the handle, elsewhere if bounced; returns the stream begun."""
         replicas, rejected = self.router.replicas, set()
-        until = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
+        until = min(self.request.cutoff, self.handle.created_at + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
         while True:
             sequence, document = self.sequence()
-            if plan.writer is None or not planning.still_fits(replicas, document, self.request, plan.writer):
-                writer = planning.writer_again(replicas, document, self.request, self.router.cell, rejected)
+            if plan.decode_replica is None or not planning.is_still_allowed(
+                replicas, document, self.request, plan.decode_replica
+            ):
+                writer = planning.choose_decode_replica(replicas, document, self.request, self.router.cell, rejected)
                 if writer is None:  # the prompt is read: worth a wait for a place
                     if self.environment.now() >= until:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
@@ -168,9 +178,9 @@
                     with self.router.held_wait():
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
-                replicas.end(self.writing)
-                plan.writer, self.writing = writer, writer.name
-                replicas.begin(self.writing)
+                replicas.request_ended(self.writing)
+                plan.decode_replica, self.writing = writer, writer.name
+                replicas.request_started(self.writing)
                 if self.router.lease.sequence() != sequence:
                     continue
             self.chart.step("decode")
@@ -179,7 +189,7 @@
                     self.environment,
                     self.request,
                     self.name(),
-                    plan.writer,
+                    plan.decode_replica,
                     self.handle,
                     sequence,
                     self.left(),
@@ -189,15 +199,15 @@
             except verdict.SendFailure as e:
                 if e.reason == web.NOT_READY:
                     continue
-                again = e.verdict is NOT_RUN and not e.gone
-                while again and not self.router.budget.extra(int(self.sends["decode"] > 0)):
+                again = e.verdict is NOT_RUN and not e.handle_lost
+                while again and not self.router.retry_budget.take_or_borrow(int(self.sends["decode"] > 0)):
                     again = self.environment.now() < until
                     self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                 if not again:
                     raise
                 self.note(e)
                 rejected.add(e.replica)
-                plan.writer = None
+                plan.decode_replica = None
 
     def first(self, stream):
         """Pulls the first token: it shows that the pull is done, so the free is ordered."""
@@ -205,6 +215,6 @@
         try:
             row = next(rows)
         except StopIteration:
-            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.place.name) from None
+            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.endpoint.name) from None
         self.let_go()
         return stream, row, rows
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -56,7 +56,7 @@
         while self.mailbox and not self.mailbox_stuck:
             self.mailbox.pop(0)()
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         if self.confirmed:
             call(True)
         else:
@@ -78,7 +78,10 @@
 
 def keeper(member):
     return types.SimpleNamespace(
-        members=[member], leader_tasks=[], environment=types.SimpleNamespace(new_event=member.new_event), in_part=None
+        members=[member],
+        leader_tasks=[],
+        environment=types.SimpleNamespace(new_event=member.new_event),
+        call_in_mailbox=None,
     )
 
 
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -7,8 +7,8 @@
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.leaseholder as leaseholder
 import mothshed.control_plane.member as member_module
 import mothshed.http.events as events
@@ -97,7 +97,7 @@
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
 
-    def confirm(self, call):
+    def confirm_leadership(self, call):
         call(True)
 
     def propose(self, command, call):
@@ -112,14 +112,14 @@
 
 def make_duty(pool, *sequences):
     """A configuration task with the first of these sequences active, after its start delay."""
-    duty = config_part.ConfigDuty(SingleMemberLeader(all_orders.ManualEnvironment(pool, "a:1")))
+    task = config_leader_task.ConfigLeaderTask(SingleMemberLeader(all_orders.ManualEnvironment(pool, "a:1")))
     base = 0
     for sequence in sequences[:1]:
-        duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
-        duty.machine.active = base = sequence
-    duty.start()
-    duty.activates_from -= 10
-    return duty
+        task.machine.apply(0, stage(base, sequence, f"m{sequence}"))
+        task.machine.active = base = sequence
+    task.start()
+    task.activation_allowed_at -= 10
+    return task
 
 
 def deliver_all(pool):
@@ -139,8 +139,8 @@
         ["a:1"],
         config_machine.ConfigMachine(),
     )
-    duty = config_part.ConfigDuty(member)
-    member.begin()
+    task = config_leader_task.ConfigLeaderTask(member)
+    member.start()
     member.bootstrap({"A/1": {"address": "a:1", "http": ""}})
     pool.time += 10
     member.start_election(pre_vote=True)
@@ -149,61 +149,61 @@
     replies = []
     for base, sequence in ((0, 5), (5, 40)):
         member.propose(stage(base, sequence, f"m{sequence}"), replies.append)
-        assert duty.machine.active == sequence
+        assert task.machine.active == sequence
     assert replies == [{"sequence": 5}, {"sequence": 40}]
 
 
 def test_the_lease_length_depends_on_what_is_staged():
     pool = all_orders.Pool()
-    duty = make_duty(pool, 5)
-    assert duty.length() == constants.LONG_LEASE_S
+    task = make_duty(pool, 5)
+    assert task.lease_length() == constants.LONG_LEASE_S
     # this lease holder never acknowledges the new document
-    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)
-    duty.machine.apply(0, stage(5, 40, "b"))
-    assert duty.machine.active == 5 and duty.length() == constants.SHORT_LEASE_S
-    pool.time += duty.bounds.older_s + 0.01
-    assert duty.length() == 0.0
-    duty.holders.clear()
-    duty.try_activate()
-    assert duty.machine.active == 40 and duty.length() == constants.LONG_LEASE_S
+    task.leaseholders["r:1"] = leaseholder.Leaseholder(lease_end=pool.time + 100, staged=5)
+    task.machine.apply(0, stage(5, 40, "b"))
+    assert task.machine.active == 5 and task.lease_length() == constants.SHORT_LEASE_S
+    pool.time += task.bounds.older_lease_window_s + 0.01
+    assert task.lease_length() == 0.0
+    task.leaseholders.clear()
+    task.try_activate()
+    assert task.machine.active == 40 and task.lease_length() == constants.LONG_LEASE_S
 
 
 def test_a_new_leader_grants_no_older_lease_while_a_document_is_staged():
     pool = all_orders.Pool()
-    duty = make_duty(pool, 5)
-    duty.holders["r:1"] = leaseholder.Leaseholder(until=pool.time + 100, staged=5)
-    duty.machine.apply(0, stage(5, 40, "b"))
-    duty.start()  # a new leader does not know when it was staged
-    assert duty.length() == 0.0 and duty.machine.active == 5
+    task = make_duty(pool, 5)
+    task.leaseholders["r:1"] = leaseholder.Leaseholder(lease_end=pool.time + 100, staged=5)
+    task.machine.apply(0, stage(5, 40, "b"))
+    task.start()  # a new leader does not know when it was staged
+    assert task.lease_length() == 0.0 and task.machine.active == 5
     pool.time += constants.LONG_LEASE_S + constants.LEASE_CLOCK_MARGIN_S + 0.01
-    duty.try_activate()
-    assert duty.machine.active == 40
+    task.try_activate()
+    assert task.machine.active == 40
 
 
 def test_a_lease_holder_receives_non_consecutive_sequences_in_order():
     pool = all_orders.Pool()
-    duty = make_duty(pool, 5)
+    task = make_duty(pool, 5)
     lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
-    lease.ask()
+    lease.request_lease()
     deliver_all(pool)
     assert lease.sequence() == 5 and lease.document() == {"n": 5}
     for base, sequence in ((5, 40), (40, 41), (41, 1000)):
-        duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
-        assert duty.machine.active == base  # the lease holder has not acknowledged it
+        task.machine.apply(0, stage(base, sequence, f"m{sequence}"))
+        assert task.machine.active == base  # the lease holder has not acknowledged it
         deliver_all(pool)
-        assert duty.machine.active == sequence == lease.sequence() and lease.document() == {"n": sequence}
+        assert task.machine.active == sequence == lease.sequence() and lease.document() == {"n": sequence}
 
 
 def test_the_newest_staged_document_that_all_lease_holders_have_is_activated():
     pool = all_orders.Pool()
-    duty = make_duty(pool, 5)
+    task = make_duty(pool, 5)
     for name, staged in (("r:1", 5), ("r:2", 5)):
-        duty.holders[name] = leaseholder.Leaseholder(until=pool.time + 1, staged=staged)
+        task.leaseholders[name] = leaseholder.Leaseholder(lease_end=pool.time + 1, staged=staged)
     for base, sequence in ((5, 40), (40, 77)):
-        duty.machine.apply(0, stage(base, sequence, f"m{sequence}"))
-    duty.on_news_ack("r:1", {"number": duty.number, "staged": 77})
-    assert duty.machine.active == 5
-    duty.on_news_ack("r:2", {"number": duty.number, "staged": 40})
-    assert duty.machine.active == 40
-    duty.on_news_ack("r:2", {"number": duty.number, "staged": 77})
-    assert duty.machine.active == 77
+        task.machine.apply(0, stage(base, sequence, f"m{sequence}"))
+    task.on_news_ack("r:1", {"number": task.news_number, "staged": 77})
+    assert task.machine.active == 5
+    task.on_news_ack("r:2", {"number": task.news_number, "staged": 40})
+    assert task.machine.active == 40
+    task.on_news_ack("r:2", {"number": task.news_number, "staged": 77})
+    assert task.machine.active == 77
--- a/tests/test_delivery_placing.py
+++ b/tests/test_delivery_placing.py
@@ -6,11 +6,11 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.control_plane.usage_duty as usage_duty
+import mothshed.control_plane.load_task as load_task
 import mothshed.data_plane.placement as placement_module
 import mothshed.data_plane.prefix_cache as prefix_cache
 import mothshed.data_plane.replica_pair as replica_pair
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_load as replica_load
 import mothshed.runtime.journal as journal
 import tests.all_orders as all_orders
@@ -36,8 +36,8 @@
     """A Placement over prefill replicas p1, p2 .. and decode replicas d1, d2 ..; and the pool with its clock."""
     pool = all_orders.Pool()
     environment = all_orders.ManualEnvironment(pool, "r:1")
-    replicas = listed.Listed(environment, "", journal.Journal(), None, lambda: [])
-    replicas.take_list(
+    replicas = listed_replicas.ListedReplicas(environment, "", journal.Journal(), None, lambda: [])
+    replicas.update_list(
         {
             name: {
                 "url": f"http://{name}",
@@ -120,7 +120,7 @@
     for _ in range(3):
         placement.finish_prefill(pair)
     assert (placement.running("p1"), placement.queued_tokens("p1"), placement.running("d1")) == (0, 0, 1)
-    placement.replicas.end("d1")
+    placement.replicas.request_ended("d1")
     assert placement.running("d1") == 0
 
 
@@ -133,7 +133,7 @@
         placement.reserve_pair(1, DOCUMENT, "main", make_request(8000, [("own", 8000)]))
     assert abs(error.value.excess_s - 0.1) < 0.01
     # no slot was reserved
-    assert (placement.replicas.mine.get("p1", 0), placement.replicas.mine.get("d1", 0)) == (0, 0)
+    assert [placement.replicas.own_requests.get(name, 0) for name in ("p1", "d1")] == [0, 0]
     pair = placement.reserve_pair(1, DOCUMENT, "main", make_request(8000, [("own", 8000)], aim_s=2.0))
     assert pair.prefill_replica.name == "p1"
     pair = placement.reserve_pair(1, DOCUMENT, "main", make_request(2000, [("own", 2000)]))
@@ -145,7 +145,7 @@
     placement.update_remote_loads(1, {n: load(8) for n in ("d1", "d2")})
     with pytest.raises(replica_pair.QueueFull):
         placement.reserve_pair(1, DOCUMENT, "main", make_request())
-    assert not any(placement.replicas.mine.values()) and placement.queued_tokens("p1") == 0
+    assert not any(placement.replicas.own_requests.values()) and placement.queued_tokens("p1") == 0
     placement.update_remote_loads(1, {"d1": load(8), "d2": load(7)})
     assert pair_names(placement.reserve_pair(1, DOCUMENT, "main", make_request())) == ("p1", "d2")
 
@@ -197,7 +197,7 @@
 def test_load_sums_omit_the_requesting_router_and_expired_reports_and_include_role_changes():
     pool = all_orders.Pool()
     member = types.SimpleNamespace(environment=all_orders.ManualEnvironment(pool, "k:1"), part=1, is_leader=True)
-    duty = usage_duty.UsageDuty(member)
+    duty = load_task.LoadTask(member)
     duty.on_usage("r:1", {"mark": 1, "rows": replica_load.to_wire({"d1": load(2, 0.5, [1, 0, 10])})})
     duty.on_usage(
         "r:2",
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -15,8 +15,8 @@
 
     def __init__(self, refusals):
         self.refusals, self.log = refusals, []
-        self.waiting = False
-        self.members = [types.SimpleNamespace(disk_lost=part == 1) for part in range(3)]
+        self.waiting_for_disk = False
+        self.members = [types.SimpleNamespace(stopped_by_disk_fault=part == 1) for part in range(3)]
         self.environment = types.SimpleNamespace(sleep=lambda span: self.log.append("pause"), spawn=self.log.append)
         self.disk = types.SimpleNamespace(put=self.put)
 
@@ -28,7 +28,7 @@
     def reopen_parts(self):
         self.log.append("opened")
         for part in self.members:
-            part.disk_lost = False
+            part.stopped_by_disk_fault = False
 
     def wait_for_disk(self):
         keeper.Keeper.wait_for_disk(self)
@@ -43,7 +43,7 @@
     failed.disk_failed()  # a second member on the same disk
     assert len(failed.log) == 1
     failed.log.pop()()
-    assert failed.log == ["pause"] * 4 + ["opened"] and not failed.waiting
+    assert failed.log == ["pause"] * 4 + ["opened"] and not failed.waiting_for_disk
 
 
 def test_a_part_that_fails_while_the_others_are_opened_is_opened_too():
@@ -51,8 +51,8 @@
 
     def reopen_some(once=[True]):  # noqa: B006
         failed.log.append("opened")
-        failed.members[1].disk_lost = False
-        failed.members[2].disk_lost = bool(once and once.pop())
+        failed.members[1].stopped_by_disk_fault = False
+        failed.members[2].stopped_by_disk_fault = bool(once and once.pop())
 
     failed.reopen_parts = reopen_some
     failed.disk_failed()
--- a/tests/test_keys_of_our_interface.py
+++ b/tests/test_keys_of_our_interface.py
@@ -121,8 +121,10 @@
 
 
 def test_without_a_lease_a_key_is_never_rejected_as_unknown(fleet, monkeypatch):
-    monkeypatch.setattr(fleet.router.lease, "view", (*fleet.router.lease.view[:1], 0.0, fleet.router.lease.view[2]))
-    monkeypatch.setattr(fleet.router.lease, "show", lambda: None)
+    monkeypatch.setattr(
+        fleet.router.lease, "published", (*fleet.router.lease.published[:1], 0.0, fleet.router.lease.published[2])
+    )
+    monkeypatch.setattr(fleet.router.lease, "publish", lambda: None)
     status, fields, payload = fleet.call({"authorization": "Bearer key-of-nobody"})
     assert status == 503 and fields["retry-after"] and payload["error"]["verdict"] == "not_run"
 
@@ -137,8 +139,10 @@
 def hold_back_plans(fleet, monkeypatch):
     """Make no plans until the returned function is called."""
     holding = [True]
-    original = fleet.router.admission.take
-    monkeypatch.setattr(fleet.router.admission, "take", lambda *arguments: None if holding[0] else original(*arguments))
+    original = fleet.router.admission.try_plan
+    monkeypatch.setattr(
+        fleet.router.admission, "try_plan", lambda *arguments: None if holding[0] else original(*arguments)
+    )
     monkeypatch.setattr(constants, "MAX_QUEUE_WAIT_S", 5.0)
 
     def allow_plans():
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -69,7 +69,7 @@
     chosen = {placement.reserve_pair(1, document, "main", request).decode_replica.name for _ in range(4)}
     assert "d1" not in chosen  # although it has the fewest requests
     pool.time += constants.LOAD_TTL_S + 0.1
-    placement.replicas.mine.clear()
+    placement.replicas.own_requests.clear()
     assert placement.without_failing(["d1", "d2"]) == ["d1", "d2"]
 
 
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -3,7 +3,7 @@
 import pytest
 
 import mothshed.data_plane.replica_pair as replica_pair
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.journal as journal
 import tests.order_group as order_group
 import tests.platform_site as platform_site
@@ -66,9 +66,9 @@
     group.seats["A"].renew()
     duty, seat = group.leader_tasks["A"], group.seats["A"]
     speech = Speech()
-    found = listed.Listed(seat.environment, "", journal.Journal(), None, lambda: [])
-    found.take_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
-    duty.replicas, duty.journal, duty.gives_roles, duty.says_standing = found, journal.Journal(), True, False
+    found = listed_replicas.ListedReplicas(seat.environment, "", journal.Journal(), None, lambda: [])
+    found.update_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
+    duty.replicas, duty.journal, duty.keeps_reported_roles, duty.announces_token = found, journal.Journal(), True, False
     duty.order_role, duty.speech = speech.order_role, speech
     duty.lease.pools = DOCUMENT["pools"]
     duty.environment.spawn = lambda call: call()
@@ -76,20 +76,20 @@
 
 
 def test_no_split_is_planned_and_no_order_sent_for_a_service_without_a_model(holder):
-    holder.look(DOCUMENT)  # agrees on roles
+    holder.plan_roles(DOCUMENT)  # agrees on roles
     assert sorted(holder.machine.roles) == [f"models{n}" for n in range(5)]
-    holder.look(DOCUMENT)  # sends what is missing
+    holder.plan_roles(DOCUMENT)  # sends what is missing
     assert sorted(holder.speech.ordered) == ["decode"] * 3 + ["prefill"] * 2
 
 
 def test_an_order_that_was_agreed_while_a_service_had_a_model_is_not_sent_once_it_has_none(holder):
     with_model = {**DOCUMENT["pools"]["slips"], "split": True}
     holder.lease.pools = {**DOCUMENT["pools"], "slips": with_model}
-    holder.look({"pools": holder.lease.pools})
-    assert "slips0" in holder.machine.roles and holder.still_wanted("slips0", holder.machine.roles["slips0"])
+    holder.plan_roles({"pools": holder.lease.pools})
+    assert "slips0" in holder.machine.roles and holder.order_still_valid("slips0", holder.machine.roles["slips0"])
     holder.lease.pools = DOCUMENT["pools"]
-    assert not holder.still_wanted("slips0", holder.machine.roles["slips0"])
-    assert holder.still_wanted("models0", holder.machine.roles["models0"])
+    assert not holder.order_still_valid("slips0", holder.machine.roles["slips0"])
+    assert holder.order_still_valid("models0", holder.machine.roles["models0"])
 
 
 @pytest.mark.parametrize("engine", [True, False])
@@ -172,8 +172,8 @@
     assert sorted(taken) == ["r1", "r1", "r2", "r2", "r3", "r3"]
     with pytest.raises(replica_pair.QueueFull):
         placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ()))
-    assert sum(placement.replicas.mine.values()) == 6
-    placement.replicas.end("r2")
+    assert sum(placement.replicas.own_requests.values()) == 6
+    placement.replicas.request_ended("r2")
     assert (
         placement.reserve_pair(1, document, "plain", test_delivery_placing.make_request(0, ())).decode_replica.name
         == "r2"
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -2,18 +2,18 @@
 
 import mothshed.configuration.lease as lease
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.keeper as keeper
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.reconfiguration as reconfiguration
 import mothshed.control_plane.replication as replication
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.budget as budget
+import mothshed.data_plane.backup_releases as backup_releases
 import mothshed.data_plane.carry as carry
-import mothshed.data_plane.frees as frees
-import mothshed.data_plane.guard as guard
+import mothshed.data_plane.handle_releases as handle_releases
+import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.router as router
 import mothshed.replicas.known_replicas as replicas
 import mothshed.replicas.replica_adapter as replica_adapter
@@ -46,8 +46,8 @@
     "the lease is checked before a send": (
         weakened.put(
             lease.Lease,
-            sequence=lambda self: self.view[0] if self.view[2] else None,
-            current=lambda self: (self.view[0], self.view[2]) if self.view[2] else (None, None),
+            sequence=lambda self: self.published[0] if self.published[2] else None,
+            current=lambda self: (self.published[0], self.published[2]) if self.published[2] else (None, None),
         ),
         "core_cut",
         "new after ack",
@@ -63,17 +63,17 @@
         "no fall back",
     ),
     "activation waits for the leaseholders": (
-        weakened.put(config_part.ConfigDuty, try_activate=weakened.activate_at_once),
+        weakened.put(config_leader_task.ConfigLeaderTask, try_activate=weakened.activate_at_once),
         "router_loses_keepers",
         "no fall back",
     ),
     "a lease answer needs a majority": (
-        weakened.put(replication.Replication, confirm=weakened.confirm_alone),
+        weakened.put(replication.Replication, confirm_leadership=weakened.confirm_alone),
         "frozen_owner_with_company",
         "new after ack",
     ),
     "a write needs a majority": (
-        weakened.put(replication.Replication, count_commit=weakened.count_alone),
+        weakened.put(replication.Replication, advance_commit_index=weakened.count_alone),
         "owner_cut_off",
         "writes kept",
     ),
@@ -88,7 +88,7 @@
         "writes kept",
     ),
     "a wiped member is somebody new": (
-        weakened.put(keeper, incarnation=lambda disk, name, chance: f"{name}/same"),
+        weakened.put(keeper, load_member_id=lambda disk, name, token_hex: f"{name}/same"),
         "wiped_and_cut",
         "writes kept",
     ),
@@ -103,18 +103,22 @@
         "orders fenced",
     ),
     "a leaving replica is left alone": (
-        weakened.put(replicas.Replicas, take_list=weakened.deaf_to_leaving),
+        weakened.put(replicas.Replicas, update_list=weakened.deaf_to_leaving),
         "leaving",
         "leaving",
     ),
     "extra sends have a budget": (
-        weakened.put(budget.Budget, extra=lambda self, count=1: True),
+        weakened.put(retry_budget.RetryBudget, take_or_borrow=lambda self, count=1: True),
         "replicas_bounce",
         "few extras",
     ),
-    "every handle is freed": (weakened.put(frees.Frees, order=lambda self, handle: None), "calm", "freed"),
+    "every handle is freed": (
+        weakened.put(handle_releases.HandleReleases, enqueue=lambda self, handle: None),
+        "calm",
+        "freed",
+    ),
     "a neighbour keeps a lost router's frees": (
-        weakened.put(guard.Guard, owe=lambda self, request, place, left: None),
+        weakened.put(backup_releases.BackupReleases, register=lambda self, request, replica, time_left: None),
         "kill_router",
         "freed",
     ),
@@ -126,7 +130,7 @@
     "tenants are queued fairly": (weakened.first_come_first_served, "tenant_rush", "none starved"),
     "a free place is not refused": (weakened.put(carry.Carry, admit=weakened.reject_some), "calm", "in time"),
     "given-up requests are answered at once": (
-        weakened.put(admission.Admission, enter=weakened.reject_late),
+        weakened.put(admission.Admission, admit=weakened.reject_late),
         "calm",
         "answered at once",
     ),
@@ -156,7 +160,7 @@
         "new after ack",
     ),
     "a pool's bounds hold over its parts": (
-        weakened.put(orders.OrderDuty, shared=weakened.alone),
+        weakened.put(orders.OrderTask, pool_replicas=weakened.alone),
         "small_pool_renamed",
         "pool whole",
     ),
