--- a/mothshed/data_plane/pauses.py
+++ b/mothshed/data_plane/pauses.py
@@ -1,31 +1,31 @@
-"""The pauses between the events of one delivered stream, so that a late one can say where it stood still."""
+"""Detects long pauses between the events of one delivered stream, and their cause."""
 
 import collections.abc
 import contextlib
 import enum
 
 
-class Cause(enum.Enum):
-    """Where a stream stands still between two events."""
+class PauseCause(enum.Enum):
+    """What a stream waits for between two events."""
 
-    REPLICA = "pause_replica"  # the next event is not here yet
-    CALLER = "pause_caller"  # the last one is still being passed on
+    REPLICA = "pause_replica"  # the next event has not arrived
+    CALLER = "pause_caller"  # the last event is still being sent to the caller
 
 
-class Pauses:
-    """The causes of pauses longer than a route allows; none are found on a route that sets no bound."""
+class PauseMonitor:
+    """Collects the causes of pauses longer than the route allows; none if the route sets no limit."""
 
-    def __init__(self, now: collections.abc.Callable[[], float], longest_s: float | None) -> None:
+    def __init__(self, now: collections.abc.Callable[[], float], limit_s: float | None) -> None:
         self.now = now
-        self.longest_s = longest_s
-        self.found: set[Cause] = set()
+        self.limit_s = limit_s
+        self.causes: set[PauseCause] = set()
 
     @contextlib.contextmanager
-    def watch(self, cause: Cause) -> collections.abc.Iterator[None]:
-        """Note a cause if the block takes longer than the route allows between events, however it ends."""
-        began = self.now()
+    def watch(self, cause: PauseCause) -> collections.abc.Iterator[None]:
+        """Record the cause if the block takes longer than the limit, also if it raises."""
+        started_at = self.now()
         try:
             yield
         finally:
-            if self.longest_s is not None and self.now() - began > self.longest_s:
-                self.found.add(cause)
+            if self.limit_s is not None and self.now() - started_at > self.limit_s:
+                self.causes.add(cause)
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -11,7 +11,7 @@
 import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
-import mothshed.data_plane.placing as placing
+import mothshed.data_plane.placement as placement
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
@@ -53,12 +53,12 @@
         self.handle_releases = handle_releases.HandleReleases(
             environment, self.journal, (speech or replica_adapter).release_handle
         )
-        self.placing = placing.Placing(environment, self.replicas, self.cell)
-        self.tables = routes.Tables()
+        self.placement = placement.Placement(environment, self.replicas, self.cell)
+        self.tables = routes.RouteTables()
         self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if speech:
-            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placing)
+            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placement)
         self.backup_releases = backup_releases.BackupReleases(
             environment, self.gossip, self.handle_releases, self.journal
         )
--- a/tests/test_route_tables.py
+++ b/tests/test_route_tables.py
@@ -1,4 +1,4 @@
-"""The table of routes that threads share while the configuration changes."""
+"""Route tables shared by threads while the configuration changes."""
 
 import mothshed.data_plane.routes as routes
 
@@ -7,8 +7,8 @@
     return {"routes": [{"name": name, "host": "h", "prefix": "/"}], "tenants": {}}
 
 
-class InterruptedTables(routes.Tables):
-    """Once armed, another thread asks for the next document's table right after each attribute is set."""
+class InterruptedTables(routes.RouteTables):
+    """Once armed, simulates another thread that asks for the next table after each attribute assignment."""
 
     armed = False
 
@@ -16,13 +16,13 @@
         super().__setattr__(name, value)
         if self.armed:
             type(self).armed = False
-            self.of(2, document("new"))
+            self.table_for(2, document("new"))
             type(self).armed = name != "sequence"
 
 
-def test_config_a_table_is_that_of_the_sequence_asked_for_while_another_thread_asks_for_the_next():
+def test_table_for_returns_the_requested_sequence_while_another_thread_requests_the_next():
     tables = InterruptedTables()
     InterruptedTables.armed = True
-    assert tables.of(1, document("old")).match("h", "/")["name"] == "old"
+    assert tables.table_for(1, document("old")).match("h", "/")["name"] == "old"
     InterruptedTables.armed = False
-    assert tables.of(2, document("new")).match("h", "/")["name"] == "new"
+    assert tables.table_for(2, document("new")).match("h", "/")["name"] == "new"
