--- a/mothshed/data_plane/carry.py
+++ b/mothshed/data_plane/request_execution.py
@@ -10,7 +10,7 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.plan as planning
-import mothshed.data_plane.sends as sends
+import mothshed.data_plane.request_sends as request_sends
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.charts as charts
@@ -18,89 +18,93 @@
 NOT_RUN = verdict.Verdict.NOT_RUN
 
 
-class Carry(sends.Sends):
+class RequestExecution(request_sends.RequestSends):
     """One request on its way; `run` yields (text, finish) and raises what went wrong."""
 
     def __init__(self, router, request):
         self.router, self.environment, self.request = router, router.environment, request
         self.chart = charts.load("request")
-        self.fails = []
-        self.ran = False  # some send of this request ran or may have
-        self.ask = replica_adapter.ask_of(request, self.environment.random)
-        self.sends = {"prefill": 0, "decode": 0}  # those written to a replica
-        self.tries, self.number = 0, 0  # prefills begun; sends named
-        self.without = set()
+        self.failures = []
+        self.may_have_run = False  # some send of this request ran or may have
+        self.send_id_prefix = replica_adapter.ask_of(request, self.environment.random)
+        self.sends_written = {"prefill": 0, "decode": 0}  # those written to a replica
+        self.prefill_attempts, self.send_number = 0, 0  # prefills begun; sends named
+        self.excluded = set()
         self.handle = None
-        self.identified = None  # the sequence under which its tenant was asked for last
+        self.identity_sequence = None  # the sequence under which its tenant was asked for last
 
     def run(self):
         try:
-            yield from self.rounds()
+            yield from self.run_attempts()
         finally:
-            self.let_go()
+            self.release_handle()
 
-    def let_go(self):
+    def release_handle(self):
         if self.handle:
             self.router.handle_releases.enqueue(self.handle)
             self.handle = None
 
-    def rounds(self):
+    def run_attempts(self):
         self.take_permit()
         plan = self.admit()
         self.chart.step("admit")
         while True:
             try:
-                yield from self.once(plan)
+                yield from self.run_attempt(plan)
                 return
             except verdict.SendFailure as e:
                 self.stop_if_caller_left()
-                self.note(e)
-                self.let_go()
-                self.may_repeat(e)
+                self.record_failure(e)
+                self.release_handle()
+                self.check_may_repeat(e)
                 plan = self.admit()
 
-    def note(self, e):
-        self.fails.append(e)
-        if e.verdict is not NOT_RUN:
-            self.ran = True
-        if e.replica:
-            self.without.add(e.replica)
-            if e.verdict is NOT_RUN and e.reason.startswith("status 503"):
-                self.router.replicas.full(e.replica)
-            if e.reason.startswith(("NewConnection", "ConnectTimeout")):
-                self.router.replicas.doubt(e.replica)
+    def record_failure(self, failure):
+        self.failures.append(failure)
+        if failure.verdict is not NOT_RUN:
+            self.may_have_run = True
+        if failure.replica:
+            self.excluded.add(failure.replica)
+            if failure.verdict is NOT_RUN and failure.reason.startswith("status 503"):
+                self.router.replicas.full(failure.replica)
+            if failure.reason.startswith(("NewConnection", "ConnectTimeout")):
+                self.router.replicas.doubt(failure.replica)
         self.router.journal.add(
-            "send_failed", outcome=e.verdict.value, replica=e.replica, reason=e.reason, request=self.request.id
+            "send_failed",
+            outcome=failure.verdict.value,
+            replica=failure.replica,
+            reason=failure.reason,
+            request=self.request.id,
         )
 
-    def may_repeat(self, e):
+    def check_may_repeat(self, failure):
         """Returns if the whole request may be done over; raises its end otherwise."""
         if self.chart.state == "relaying":
             self.chart.step("break")
-            raise verdict.StreamBroken(str(e)) from e
-        held = self.ran and not self.request.safe
-        if held or self.tries >= constants.MAX_PREFILL_ATTEMPTS or not self.may_send_more():
-            self.end()
+            raise verdict.StreamBroken(str(failure)) from failure
+        must_not_repeat = self.may_have_run and not self.request.safe
+        if must_not_repeat or self.prefill_attempts >= constants.MAX_PREFILL_ATTEMPTS or not self.take_retry_budget():
+            self.raise_final_failure()
 
-    def may_send_more(self):
+    def take_retry_budget(self):
         """Takes from the budget what doing it all over costs; waits for it as long as for a place."""
-        cost = sum(1 for n in self.sends.values() if n)
-        until = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
+        cost = sum(1 for n in self.sends_written.values() if n)
+        deadline = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
         while self.environment.now() < self.request.cutoff:
             if self.router.retry_budget.take_or_borrow(cost):
                 return True
-            if self.environment.now() >= until:
+            if self.environment.now() >= deadline:
                 return False
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         return False
 
-    def end(self):
-        if self.ran:
+    def raise_final_failure(self):
+        if self.may_have_run:
             self.chart.step("fail")
-            raise verdict.RequestFailure("request failed", self.fails)
+            raise verdict.RequestFailure("request failed", self.failures)
         self.chart.step("bounce")
         raise verdict.Rejection(
-            503, self.fails[-1].reason if self.fails else "no pair", constants.RETRY_AFTER_S, "sends_failed"
+            503, self.failures[-1].reason if self.failures else "no pair", constants.RETRY_AFTER_S, "sends_failed"
         )
 
     def admit(self):
@@ -112,8 +116,8 @@
             sequence, document = router.lease.current()
             if sequence is None or router.held_waiting:  # held handles come before new prompts
                 return None
-            plan = planning.make(router.replicas, sequence, document, request, router.cell, self.without)
-            if plan is None and self.without:
+            plan = planning.make(router.replicas, sequence, document, request, router.cell, self.excluded)
+            if plan is None and self.excluded:
                 plan = planning.make(router.replicas, sequence, document, request, router.cell)
             if plan:
                 router.replicas.begin(plan.prefill_replica.name)
@@ -122,44 +126,44 @@
 
         try:
             tenant = (router.lease.document() or {}).get("tenants", {}).get(request.tenant, {"share": 1})
-            return router.admission.admit(request, tenant["share"], make_plan, bool(self.tries))
+            return router.admission.admit(request, tenant["share"], make_plan, bool(self.prefill_attempts))
         except verdict.Rejection as e:
-            if self.ran:
-                self.fails.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)))
-                self.end()
+            if self.may_have_run:
+                self.failures.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e)))
+                self.raise_final_failure()
             self.chart.step("bounce")
             raise
 
-    def once(self, plan):
+    def run_attempt(self, plan):
         replicas = self.router.replicas
-        self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
+        self.reserved_prefill, self.reserved_decode = plan.prefill_replica.name, plan.decode_replica.name
         try:
             self.prefill(plan)
-            replicas.end(self.reading)
-            self.reading = None
+            replicas.end(self.reserved_prefill)
+            self.reserved_prefill = None
             self.router.admission.wake_head()
             yield from self.relay(self.decode(plan))
         finally:
-            for name in (self.reading, self.writing):
+            for name in (self.reserved_prefill, self.reserved_decode):
                 if name:
                     replicas.end(name)
             self.router.admission.wake_head()
 
-    def relay(self, parts):
-        stream, row, rows = parts
+    def relay(self, started_stream):
+        stream, first, tokens = started_stream
         try:
             if self.request.stream:
                 self.chart.step("relay")
-                yield row
-                yield from rows
+                yield first
+                yield from tokens
                 self.chart.step("finish")
             else:  # gathered whole before anything is delivered
-                whole = [row]
-                for row in rows:
+                gathered = [first]
+                for token in tokens:
                     self.stop_if_caller_left()
-                    whole.append(row)
+                    gathered.append(token)
                 self.chart.step("relay")
-                yield from whole
+                yield from gathered
                 self.chart.step("finish")
         finally:
             stream.close()
--- a/mothshed/data_plane/sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -19,44 +19,44 @@
 NOT_RUN = verdict.Verdict.NOT_RUN
 
 
-class Sends:
+class RequestSends:
     """The part of Carry that talks to replicas."""
 
-    def sequence(self):
+    def wait_for_configuration(self):
         """The sequence to send under, waited for a little when the lease just lapsed."""
-        until = min(self.request.cutoff, self.environment.now() + constants.LEASE_WAIT_TIMEOUT_S)
+        deadline = min(self.request.cutoff, self.environment.now() + constants.LEASE_WAIT_TIMEOUT_S)
         while True:
             self.stop_if_caller_left()
             sequence, document = self.router.lease.current()
             if sequence is not None:
-                self.check_tenant(sequence, document)
+                self.check_identity(sequence, document)
                 return sequence, document
-            if self.environment.now() >= until:
+            if self.environment.now() >= deadline:
                 raise verdict.SendFailure(NOT_RUN, "no lease")
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
 
-    def check_tenant(self, sequence: int, document: dict[str, typing.Any]) -> None:
+    def check_identity(self, sequence: int, document: dict[str, typing.Any]) -> None:
         """Asks again who the request comes from, under each newer document; raises its end if that has changed."""
-        if sequence == self.identified:
+        if sequence == self.identity_sequence:
             return
         request, keys = self.request, self.router.tables.of(sequence, document).keys
         try:
             found = identity.identify(document, keys, identity.NO_ROUTE, request.key_digest)
-        except verdict.Rejection as refusal:
-            self.refuse(refusal)
+        except verdict.Rejection as rejection:
+            self.reject(rejection)
         if found != request.identity:
-            self.refuse(
+            self.reject(
                 verdict.Rejection(503, "the key's tenant has changed", constants.RETRY_AFTER_S, "tenant_changed")
             )
-        self.identified = sequence
+        self.identity_sequence = sequence
 
-    def refuse(self, refusal: verdict.Rejection) -> typing.NoReturn:
+    def reject(self, rejection: verdict.Rejection) -> typing.NoReturn:
         """Ends the request: by this refusal, or as one that may have run if some send of it has."""
-        if self.ran:
-            self.fails.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, refusal.reason))
-            self.end()
+        if self.may_have_run:
+            self.failures.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, rejection.reason))
+            self.raise_final_failure()
         self.chart.step("bounce")
-        raise refusal
+        raise rejection
 
     def take_permit(self) -> None:
         """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerLeft."""
@@ -64,25 +64,25 @@
         if request.identity is None:
             return
         try:
-            sequence, document = self.sequence()
+            sequence, document = self.wait_for_configuration()
         except verdict.SendFailure as e:
-            self.refuse(verdict.Rejection(503, e.reason, constants.RETRY_AFTER_S, "no_lease"))
-        until = min(request.cutoff, request.born + constants.MAX_QUEUE_WAIT_S)
+            self.reject(verdict.Rejection(503, e.reason, constants.RETRY_AFTER_S, "no_lease"))
+        deadline = min(request.cutoff, request.born + constants.MAX_QUEUE_WAIT_S)
         try:
             row = document["tenants"][request.tenant]
-            self.router.permits.take(request.tenant, row, sequence, until, request.caller)
-        except verdict.Rejection as refusal:
-            self.refuse(refusal)
+            self.router.permits.take(request.tenant, row, sequence, deadline, request.caller)
+        except verdict.Rejection as rejection:
+            self.reject(rejection)
 
-    def ready(self, sequence, role):
+    def make_last_check(self, sequence, role):
         """The last check before a send: the lease still runs, under the same sequence."""
 
         def check():
             if self.router.lease.sequence() != sequence:
                 return False
-            if not any(self.sends.values()):
+            if not any(self.sends_written.values()):
                 self.router.retry_budget.record_request()
-            self.sends[role] += 1
+            self.sends_written[role] += 1
             return True
 
         return check
@@ -92,95 +92,100 @@
         if self.request.caller.has_left():
             raise verdict.CallerLeft()
 
-    def left(self):
-        left = self.request.cutoff - self.environment.now()
-        if left <= 0:
+    def time_left(self):
+        time_left = self.request.cutoff - self.environment.now()
+        if time_left <= 0:
             raise verdict.SendFailure(NOT_RUN, "cutoff passed")
-        return left
+        return time_left
 
-    def name(self):
+    def next_send_id(self):
         """The next send's name; none is made for a caller that has left."""
         self.stop_if_caller_left()
-        self.number += 1
-        return f"{self.ask}.{self.number}"
+        self.send_number += 1
+        return f"{self.send_id_prefix}.{self.send_number}"
 
     def replan(self, plan, sequence, document):
         """The plan made anew under a newer configuration, in the place of the old one."""
         replicas, request = self.router.replicas, self.request
-        until = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
-        for name in (self.reading, self.writing):
+        deadline = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
+        for name in (self.reserved_prefill, self.reserved_decode):
             replicas.end(name)
-        self.reading = self.writing = None
+        self.reserved_prefill = self.reserved_decode = None
         while True:
             self.stop_if_caller_left()
             with replicas.lock:
-                fresh = planning.make(replicas, sequence, document, request, self.router.cell, self.without)
-                if fresh:
-                    plan.sequence, plan.pool, plan.policy = sequence, fresh.pool, fresh.policy
-                    plan.prefill_replica, plan.decode_replica = fresh.prefill_replica, fresh.decode_replica
-                    self.reading, self.writing = plan.prefill_replica.name, plan.decode_replica.name
-                    replicas.begin(self.reading)
-                    replicas.begin(self.writing)
+                new_plan = planning.make(replicas, sequence, document, request, self.router.cell, self.excluded)
+                if new_plan:
+                    plan.sequence, plan.pool, plan.policy = sequence, new_plan.pool, new_plan.policy
+                    plan.prefill_replica, plan.decode_replica = new_plan.prefill_replica, new_plan.decode_replica
+                    self.reserved_prefill, self.reserved_decode = plan.prefill_replica.name, plan.decode_replica.name
+                    replicas.begin(self.reserved_prefill)
+                    replicas.begin(self.reserved_decode)
                     return
-            if self.environment.now() >= until or planning.rule_for(document, request.kind, request.tenant) is None:
+            if self.environment.now() >= deadline or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
             with self.router.held_wait():
                 self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
 
     def prefill(self, plan):
-        self.tries += 1
+        self.prefill_attempts += 1
         while True:
             self.chart.step("prefill")
-            sequence, document = self.sequence()
+            sequence, document = self.wait_for_configuration()
             if sequence != plan.sequence:
                 self.replan(plan, sequence, document)
                 continue
-            left, name = self.left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0), self.name()
+            time_left, send_id = (
+                self.time_left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0),
+                self.next_send_id(),
+            )
             self.router.backup_releases.register(
-                name, plan.prefill_replica, self.request.cutoff - self.environment.now()
+                send_id, plan.prefill_replica, self.request.cutoff - self.environment.now()
             )
             try:
                 self.handle = replica_adapter.prefill(
                     self.environment,
                     self.request,
-                    name,
+                    send_id,
                     plan.prefill_replica,
                     sequence,
-                    left,
-                    self.ready(sequence, "prefill"),
+                    time_left,
+                    self.make_last_check(sequence, "prefill"),
                 )
                 break
             except verdict.SendFailure as e:
-                doubt = replica_adapter.unheard(self.environment, name, plan.prefill_replica)
+                unconfirmed_handle = replica_adapter.unheard(self.environment, send_id, plan.prefill_replica)
                 if e.verdict is NOT_RUN:
-                    self.router.backup_releases.cancel(doubt)
+                    self.router.backup_releases.cancel(unconfirmed_handle)
                 else:  # it may hold, or come to hold, what we never heard of
-                    self.router.handle_releases.enqueue(doubt)
+                    self.router.handle_releases.enqueue(unconfirmed_handle)
                 if e.reason != web.NOT_READY:  # else nothing was sent: under the newer one, or later
                     raise
-        self.ran = True  # a prefill is a run
+        self.may_have_run = True  # a prefill is a run
         self.chart.step("hold")
 
     def decode(self, plan):
         """Decodes the handle, elsewhere if bounced; returns the stream begun."""
         replicas, rejected = self.router.replicas, set()
-        until = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
+        deadline = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
         while True:
-            sequence, document = self.sequence()
+            sequence, document = self.wait_for_configuration()
             if plan.decode_replica is None or not planning.is_still_allowed(
                 replicas, document, self.request, plan.decode_replica
             ):
-                writer = planning.choose_decode_replica(replicas, document, self.request, self.router.cell, rejected)
-                if writer is None:  # the prompt is read: worth a wait for a place
-                    if self.environment.now() >= until:
+                replacement = planning.choose_decode_replica(
+                    replicas, document, self.request, self.router.cell, rejected
+                )
+                if replacement is None:  # the prompt is read: worth a wait for a place
+                    if self.environment.now() >= deadline:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
                     rejected.clear()
                     with self.router.held_wait():
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
-                replicas.end(self.writing)
-                plan.decode_replica, self.writing = writer, writer.name
-                replicas.begin(self.writing)
+                replicas.end(self.reserved_decode)
+                plan.decode_replica, self.reserved_decode = replacement, replacement.name
+                replicas.begin(self.reserved_decode)
                 if self.router.lease.sequence() != sequence:
                     continue
             self.chart.step("decode")
@@ -188,33 +193,33 @@
                 stream = replica_adapter.decode(
                     self.environment,
                     self.request,
-                    self.name(),
+                    self.next_send_id(),
                     plan.decode_replica,
                     self.handle,
                     sequence,
-                    self.left(),
-                    self.ready(sequence, "decode"),
+                    self.time_left(),
+                    self.make_last_check(sequence, "decode"),
                 )
-                return self.first(stream)
+                return self.pull_first_token(stream)
             except verdict.SendFailure as e:
                 if e.reason == web.NOT_READY:
                     continue
-                again = e.verdict is NOT_RUN and not e.gone
-                while again and not self.router.retry_budget.take_or_borrow(int(self.sends["decode"] > 0)):
-                    again = self.environment.now() < until
+                may_retry = e.verdict is NOT_RUN and not e.gone
+                while may_retry and not self.router.retry_budget.take_or_borrow(int(self.sends_written["decode"] > 0)):
+                    may_retry = self.environment.now() < deadline
                     self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
-                if not again:
+                if not may_retry:
                     raise
-                self.note(e)
+                self.record_failure(e)
                 rejected.add(e.replica)
                 plan.decode_replica = None
 
-    def first(self, stream):
+    def pull_first_token(self, stream):
         """Pulls the first token: it shows that the pull is done, so the free is ordered."""
-        rows = iter(stream)
+        tokens = iter(stream)
         try:
-            row = next(rows)
+            first = next(tokens)
         except StopIteration:
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.place.name) from None
-        self.let_go()
-        return stream, row, rows
+        self.release_handle()
+        return stream, first, tokens
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -10,9 +10,9 @@
 import time
 
 import mothshed.constants as constants
-import mothshed.data_plane.carry as carry
 import mothshed.data_plane.identity as identity
 import mothshed.data_plane.intake as intake
+import mothshed.data_plane.request_execution as request_execution
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.verdict as verdict
@@ -53,7 +53,7 @@
             )
         try:
             request = self.read(path, environ, headers, environ.get("mothshed.caller"))
-            run = carry.Carry(router, request).run()
+            run = request_execution.RequestExecution(router, request).run()
             first = next(run)
         except BaseException as e:
             router.leave()
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -11,8 +11,8 @@
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
 import mothshed.data_plane.backup_releases as backup_releases
-import mothshed.data_plane.carry as carry
 import mothshed.data_plane.handle_releases as handle_releases
+import mothshed.data_plane.request_execution as request_execution
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.router as router
 import mothshed.replicas.known_replicas as replicas
@@ -24,12 +24,14 @@
 
 ROWS = {
     "unsafe requests are not repeated": (
-        weakened.put(carry.Carry, may_repeat=weakened.repeat_unsafe),
+        weakened.put(request_execution.RequestExecution, check_may_repeat=weakened.repeat_unsafe),
         "replica_crash",
         "never twice",
     ),
     "a bounce needs proof that nothing ran": (
-        weakened.put(carry.Carry, note=lambda self, e: self.fails.append(e)),
+        weakened.put(
+            request_execution.RequestExecution, record_failure=lambda self, failure: self.failures.append(failure)
+        ),
         "replica_answers_broken",
         "never twice",
     ),
@@ -53,7 +55,7 @@
         "new after ack",
     ),
     "the lease is checked once the connection stands": (
-        weakened.put(carry.Carry, ready=lambda self, sequence, role: lambda: True),
+        weakened.put(request_execution.RequestExecution, make_last_check=lambda self, sequence, role: lambda: True),
         "freeze_in_connect",
         "new after ack",
     ),
@@ -128,7 +130,11 @@
         "nothing dropped",
     ),
     "tenants are queued fairly": (weakened.first_come_first_served, "tenant_rush", "none starved"),
-    "a free place is not refused": (weakened.put(carry.Carry, admit=weakened.reject_some), "calm", "in time"),
+    "a free place is not refused": (
+        weakened.put(request_execution.RequestExecution, admit=weakened.reject_some),
+        "calm",
+        "in time",
+    ),
     "given-up requests are answered at once": (
         weakened.put(admission.Admission, admit=weakened.reject_late),
         "calm",
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -8,7 +8,7 @@
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.service_part as service_part
 import mothshed.data_plane.admission as admission
-import mothshed.data_plane.carry as carry
+import mothshed.data_plane.request_execution as request_execution
 import mothshed.replicas.known_replicas as replicas
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
@@ -32,11 +32,11 @@
         yield
 
 
-def repeat_unsafe(self, e):
+def repeat_unsafe(self, failure):
     if self.chart.state == "relaying":
-        raise verdict.StreamBroken(str(e)) from e
+        raise verdict.StreamBroken(str(failure)) from failure
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
-        self.end()
+        self.raise_final_failure()
 
 
 def count_alone(self):
@@ -146,7 +146,7 @@
             raise
 
 
-ADMIT = carry.Carry.admit
+ADMIT = request_execution.RequestExecution.admit
 SHARED = orders.OrderDuty.shared
 APPLY = service_part.ServiceMachine.apply
 TAKE_LIST = replicas.Replicas.take_list
