--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -36,7 +36,7 @@
         of its tenant and past the bounds.
         """
         deadline = min(
-            (self.environment.now() if readmission else request.born) + constants.MAX_QUEUE_WAIT_S, request.cutoff
+            (self.environment.now() if readmission else request.arrived_at) + constants.MAX_QUEUE_WAIT_S, request.cutoff
         )
         with self.lock:
             if not self.queued_count():
--- a/mothshed/data_plane/request_execution.py
+++ b/mothshed/data_plane/request_execution.py
@@ -82,14 +82,14 @@
         if self.chart.state == "relaying":
             self.chart.step("break")
             raise verdict.StreamBroken(str(failure)) from failure
-        must_not_repeat = self.may_have_run and not self.request.safe
+        must_not_repeat = self.may_have_run and not self.request.safe_to_repeat
         if must_not_repeat or self.prefill_attempts >= constants.MAX_PREFILL_ATTEMPTS or not self.take_retry_budget():
             self.raise_final_failure()
 
     def take_retry_budget(self):
         """Takes from the budget what doing it all over costs; waits for it as long as for a place."""
         cost = sum(1 for n in self.sends_written.values() if n)
-        deadline = min(self.request.cutoff, self.request.born + constants.MAX_QUEUE_WAIT_S)
+        deadline = min(self.request.cutoff, self.request.arrived_at + constants.MAX_QUEUE_WAIT_S)
         while self.environment.now() < self.request.cutoff:
             if self.router.retry_budget.take_or_borrow(cost):
                 return True
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -67,7 +67,7 @@
             sequence, document = self.wait_for_configuration()
         except verdict.SendFailure as e:
             self.reject(verdict.Rejection(503, e.reason, constants.RETRY_AFTER_S, "no_lease"))
-        deadline = min(request.cutoff, request.born + constants.MAX_QUEUE_WAIT_S)
+        deadline = min(request.cutoff, request.arrived_at + constants.MAX_QUEUE_WAIT_S)
         try:
             row = document["tenants"][request.tenant]
             self.router.permits.take(request.tenant, row, sequence, deadline, request.caller)
@@ -136,7 +136,7 @@
                 self.replan(plan, sequence, document)
                 continue
             time_left, send_id = (
-                self.time_left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe else 1.0),
+                self.time_left() * (constants.SAFE_PREFILL_TIMEOUT_RATIO if self.request.safe_to_repeat else 1.0),
                 self.next_send_id(),
             )
             self.router.backup_releases.register(
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -11,8 +11,8 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.identity as identity
-import mothshed.data_plane.intake as intake
 import mothshed.data_plane.request_execution as request_execution
+import mothshed.data_plane.request_parsing as request_parsing
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.verdict as verdict
@@ -25,7 +25,7 @@
 
     def __call__(self, environ, start):
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
-        if path in intake.PATHS:
+        if path in request_parsing.PATHS:
             if method != "POST":
                 return front.fault(start, 405, "use POST", headers=[("Allow", "POST")])
             return self.complete(path, environ, start)
@@ -83,7 +83,7 @@
             if sequence is None:
                 raise verdict.Rejection(503, "no lease", constants.RETRY_AFTER_S, "no_lease")
             found = identity.of_caller(document, router.tables.of(sequence, document).keys, headers)
-        request = intake.parse(born, path, headers, data, document, found)
+        request = request_parsing.parse(born, path, headers, data, document, found)
         if caller:
             caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
             request.caller = caller
@@ -91,7 +91,7 @@
 
     def failed(self, start, e, headers):
         name = headers.get("x-request-id", "")
-        name = name if intake.ID.match(name) else ""
+        name = name if request_parsing.REQUEST_ID.match(name) else ""
         extra = [("X-Request-Id", name)] if name else []
         add = functools.partial(self.router.journal.add, request=name)
         if isinstance(e, front.BadBody):
