--- /dev/null
+++ b/mothshed/data_plane/completions_front.py
@@ -0,0 +1,188 @@
+"""The router's HTTP front: completions, condition, metrics.
+
+Every answer that is not a success says in JSON whether the request may have run.
+A stream's status goes out only with its first token, so that failures before it
+still get a status of their own.
+"""
+
+import functools
+import json
+import time
+
+import mothshed.constants as constants
+import mothshed.data_plane.identity as identity
+import mothshed.data_plane.request_execution as request_execution
+import mothshed.data_plane.request_parsing as request_parsing
+import mothshed.http.caller as caller_module
+import mothshed.http.front as front
+import mothshed.replicas.verdict as verdict
+import mothshed.runtime.log_buffer as log_buffer
+
+
+class CompletionsFront:
+    def __init__(self, router):
+        self.router = router
+
+    def __call__(self, environ, start):
+        path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
+        if path in request_parsing.PATHS:
+            if method != "POST":
+                return front.fault(start, 405, "use POST", headers=[("Allow", "POST")])
+            return self.complete(path, environ, start)
+        handlers = {"/condition": self.condition, "/metrics": self.metrics}
+        if path in handlers:
+            if method != "GET":
+                return front.fault(start, 405, "use GET", headers=[("Allow", "GET")])
+            return handlers[path](start)
+        return front.fault(start, 404, f"no such path {path}")
+
+    def condition(self, start):
+        condition = self.router.condition()
+        return front.respond(start, 200 if condition["serving"] else 503, condition)
+
+    def metrics(self, start):
+        return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
+
+    def complete(self, path, environ, start):
+        router = self.router
+        headers = front.headers_of(environ)
+        headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
+        if not router.enter():
+            return front.fault(
+                start, 503, "this router is stopping", retry=constants.RETRY_AFTER_S, headers=[("Connection", "close")]
+            )
+        try:
+            request = self.parse_request(path, environ, headers, environ.get("mothshed.caller"))
+            execution = request_execution.RequestExecution(router, request).run()
+            first = next(execution)
+        except BaseException as e:
+            router.leave()
+            return self.respond_failure(start, e, headers)
+        if request.stream:
+            start(front.line(200), [("Content-Type", "text/event-stream"), ("X-Request-Id", request.id)])
+            return EventStream(router, request, first, execution)
+        try:
+            tokens = [first, *execution]
+        except BaseException as e:
+            return self.respond_failure(start, e, headers)
+        finally:
+            router.leave()
+        router.journal.add("request", outcome="done", request=request.id)
+        return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
+
+    def parse_request(self, path, environ, headers, caller):
+        """The request; its waits and cutoff count from when it arrived, not from when a thread was free."""
+        router = self.router
+        arrived_at, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
+        document = router.lease.document()
+        if document is None:
+            raise verdict.Rejection(503, "no configuration yet", constants.RETRY_AFTER_S, "no_configuration")
+        caller_identity = None
+        if document.get("require_key"):
+            sequence, document = router.wait_for_lease(caller or caller_module.Caller())
+            if sequence is None:
+                raise verdict.Rejection(503, "no lease", constants.RETRY_AFTER_S, "no_lease")
+            caller_identity = identity.of_caller(document, router.tables.of(sequence, document).keys, headers)
+        request = request_parsing.parse(arrived_at, path, headers, data, document, caller_identity)
+        if caller:
+            caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
+            request.caller = caller
+        return request
+
+    def respond_failure(self, start, error, headers):
+        request_id = headers.get("x-request-id", "")
+        request_id = request_id if request_parsing.REQUEST_ID.match(request_id) else ""
+        headers_out = [("X-Request-Id", request_id)] if request_id else []
+        add_entry = functools.partial(self.router.journal.add, request=request_id)
+        if isinstance(error, front.BadBody):
+            add_entry("request", outcome="invalid")
+            return front.fault(start, error.status, error.reason, headers=headers_out + [("Connection", "close")])
+        if isinstance(error, verdict.Rejection):
+            add_entry("request", outcome=identity.REFUSED.get(error.status, "invalid"))
+            if error.status == 503:
+                add_entry("bounce", outcome="no_lease" if self.router.lease.sequence() is None else error.cause)
+            headers_out += identity.challenge(error.status)
+            return front.fault(start, error.status, error.reason, retry=error.retry, headers=headers_out)
+        if isinstance(error, verdict.CallerLeft):
+            add_entry("request", outcome="left")
+            return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=headers_out)
+        if isinstance(error, verdict.RequestFailure):
+            add_entry("request", outcome="failed")
+            timed_out = any(f.reason == "cutoff passed" or "Timeout" in f.reason for f in error.exceptions)
+            return front.fault(
+                start,
+                504 if timed_out else 502,
+                "; ".join(str(f) for f in error.exceptions),
+                verdict="may_have_run",
+                headers=headers_out,
+            )
+        if not isinstance(error, Exception):
+            raise error
+        log_buffer.failure("request_crashed", error)
+        add_entry("request", outcome="crashed")
+        return front.fault(start, 500, "internal fault", verdict="may_have_run", headers=headers_out)
+
+
+def make_chunk(request, text, finish_reason, created):
+    if request.path == "/v1/chat/completions":
+        choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
+        kind = "chat.completion.chunk"
+    else:
+        choice, kind = {"index": 0, "text": text, "finish_reason": finish_reason}, "text_completion"
+    return {
+        "id": f"cmpl-{request.id}",
+        "object": kind,
+        "created": created,
+        "model": request.body["model"],
+        "choices": [choice],
+    }
+
+
+def make_response(request, tokens):
+    text, finish_reason = "".join(t for t, f in tokens), tokens[-1][1]
+    response = make_chunk(request, text, finish_reason, int(time.time()))
+    if request.path == "/v1/chat/completions":
+        response["object"] = "chat.completion"
+        response["choices"] = [
+            {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": finish_reason}
+        ]
+    response["usage"] = {"completion_tokens": len(tokens)}
+    return response
+
+
+class EventStream:
+    """The body of a streamed answer. Raising in it breaks the stream visibly."""
+
+    def __init__(self, router, request, first, execution):
+        self.router, self.request, self.execution = router, request, execution
+        self.encoded_events = self.encode_events(first)
+        self.open = True
+        self.outcome = "left"
+
+    def __iter__(self):
+        return self
+
+    def __next__(self):
+        return next(self.encoded_events)
+
+    def encode_events(self, first):
+        created = int(time.time())
+        try:
+            yield self.encode_event(first, created)
+            for token in self.execution:
+                yield self.encode_event(token, created)
+            yield b"data: [DONE]\n\n"
+        except verdict.StreamBroken:
+            self.outcome = "broken"
+            raise
+        self.outcome = "done"
+
+    def encode_event(self, token, created):
+        return b"data: " + json.dumps(make_chunk(self.request, *token, created)).encode() + b"\n\n"
+
+    def close(self):
+        if self.open:
+            self.open = False
+            self.execution.close()
+            self.router.leave()
+            self.router.journal.add("request", outcome=self.outcome, request=self.request.id)
