--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -8,12 +8,12 @@
 import mothshed.constants as constants
 import mothshed.data_plane.admission as admission
 import mothshed.data_plane.backup_releases as backup_releases
-import mothshed.data_plane.completions_front as completions_front
 import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
+import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
 import mothshed.data_plane.usage_share as usage_share
 import mothshed.http.caller as caller_module
@@ -155,7 +155,7 @@
         }
 
     def front(self):
-        app = route_front.RouteFront(self) if self.speech else completions_front.CompletionsFront(self)
+        app = route_front.RouteFront(self) if self.speech else router_front.CompletionsFront(self)
         self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
         return self.server
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -38,7 +38,7 @@
                 and (node.value.id, node.attr) in WALL
             ):
                 found.append(path.name)
-    assert sorted(set(found)) == ["completions_front.py"] and len(found) == 2
+    assert sorted(set(found)) == ["router_front.py"] and len(found) == 2
     assert abs(clock.now() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 60
 
 
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -9,8 +9,8 @@
 
 import mothshed.control_plane.keeper as keeper_module
 import mothshed.control_plane.keeper_front as keeper_front
-import mothshed.data_plane.completions_front as completions_front
 import mothshed.data_plane.router as router_module
+import mothshed.data_plane.router_front as router_front
 import mothshed.runtime.log_buffer as log_buffer
 import tools.callers as callers
 import tools.deployments as deployments
@@ -139,7 +139,7 @@
         router = router_module.Router(self.environment(machine, settings["address"]), settings)
         router.run()
         self.parts[name] = router
-        self.net.apps[settings["http"]] = (machine, completions_front.CompletionsFront(router))
+        self.net.apps[settings["http"]] = (machine, router_front.CompletionsFront(router))
 
     # --- what happens to machines ---
     def kill(self, name, planned=False):
