--- a/mothshed/data_plane/deliver.py
+++ b/mothshed/data_plane/deliver.py
@@ -30,7 +30,7 @@
 
 class Deliver(delivery_sends.DeliverySends, place_wait.PlaceWait):
     def __init__(self, router, ask):
-        self.router, self.environment, self.ask, self.speech = router, router.environment, ask, router.speech
+        self.router, self.environment, self.ask, self.speech = router, router.environment, ask, router.replica_protocol
         self.route = ask.route
         self.again = routes.repeatable(self.route)
         self.fails, self.without = [], set()
--- a/mothshed/data_plane/request_execution.py
+++ b/mothshed/data_plane/request_execution.py
@@ -114,11 +114,11 @@
         def make_plan():
             self.stop_if_caller_left()
             sequence, document = router.lease.current()
-            if sequence is None or router.held_waiting:  # held handles come before new prompts
+            if sequence is None or router.handles_waiting:  # held handles come before new prompts
                 return None
-            plan = planning.make(router.replicas, sequence, document, request, router.cell, self.excluded)
+            plan = planning.make(router.replicas, sequence, document, request, router.zone, self.excluded)
             if plan is None and self.excluded:
-                plan = planning.make(router.replicas, sequence, document, request, router.cell)
+                plan = planning.make(router.replicas, sequence, document, request, router.zone)
             if plan:
                 router.replicas.begin(plan.prefill_replica.name)
                 router.replicas.begin(plan.decode_replica.name)
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -114,7 +114,7 @@
         while True:
             self.stop_if_caller_left()
             with replicas.lock:
-                new_plan = planning.make(replicas, sequence, document, request, self.router.cell, self.excluded)
+                new_plan = planning.make(replicas, sequence, document, request, self.router.zone, self.excluded)
                 if new_plan:
                     plan.sequence, plan.pool, plan.policy = sequence, new_plan.pool, new_plan.policy
                     plan.prefill_replica, plan.decode_replica = new_plan.prefill_replica, new_plan.decode_replica
@@ -124,7 +124,7 @@
                     return
             if self.environment.now() >= deadline or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
-            with self.router.held_wait():
+            with self.router.waiting_for_decode():
                 self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
 
     def prefill(self, plan):
@@ -174,13 +174,13 @@
                 replicas, document, self.request, plan.decode_replica
             ):
                 replacement = planning.choose_decode_replica(
-                    replicas, document, self.request, self.router.cell, rejected
+                    replicas, document, self.request, self.router.zone, rejected
                 )
                 if replacement is None:  # the prompt is read: worth a wait for a place
                     if self.environment.now() >= deadline:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
                     rejected.clear()
-                    with self.router.held_wait():
+                    with self.router.waiting_for_decode():
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
                 replicas.end(self.reserved_decode)
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -67,12 +67,12 @@
 
 class RouteFront:
     def __init__(self, router):
-        self.router, self.speech, self.environment = router, router.speech, router.environment
+        self.router, self.speech, self.environment = router, router.replica_protocol, router.environment
 
     def __call__(self, environ, start):
         router, caller = self.router, environ.get("mothshed.caller") or caller_module.Caller()
         born = self.environment.now() if caller.arrived is None else caller.arrived
-        if not router.enter():
+        if not router.begin_request():
             return self.fault(start, 503, "this router is stopping", constants.ROUTE_RETRY_AFTER_S)
         way = None
         try:
@@ -80,7 +80,7 @@
             way = deliver.Deliver(router, ask)
             begun = way.start()
         except BaseException as e:
-            router.leave()
+            router.end_request()
             return self.failed(start, e, way.ask.id if way else "")
         reply = begun[0]
         headers = [(k, v) for k, v in reply.headers.items() if k.lower() not in HOP or k.lower() == "content-length"]
@@ -187,5 +187,5 @@
             self.rows.close()
             self.way.let_go()
             self.way.note_pauses()
-            self.router.leave()
+            self.router.end_request()
             self.router.journal.add("delivery", outcome=self.outcome, request=self.way.ask.id)
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -29,18 +29,20 @@
 
 
 class Router:
-    def __init__(self, environment, settings, speech=None):
+    def __init__(self, environment, settings, replica_protocol=None):
         """speech: an adapter to another way of speaking; its requests are delivered by routes."""
-        self.environment, self.settings, self.speech = environment, settings, speech
-        self.cell = settings["cell"]
+        self.environment, self.settings, self.replica_protocol = environment, settings, replica_protocol
+        self.zone = settings["cell"]
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers())
-            if speech
+            listed.Listed(
+                environment, settings["list_url"], self.journal, replica_protocol, lambda: self.gossip.keepers()
+            )
+            if replica_protocol
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
-        self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
+        self.gossip = gossip.Gossip(environment, settings["name"], "route", self.zone, settings["seeds"], self.replicas)
         self.replicas.sharers = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
@@ -49,19 +51,19 @@
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
         self.handle_releases = handle_releases.HandleReleases(
-            environment, self.journal, (speech or replica_adapter).free
+            environment, self.journal, (replica_protocol or replica_adapter).free
         )
-        self.placing = placing.Placing(environment, self.replicas, self.cell)
+        self.placing = placing.Placing(environment, self.replicas, self.zone)
         self.tables = routes.Tables()
-        self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
+        self.leaders = self.replicas.leaders if replica_protocol else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
-        if speech:
-            self.usage = usage_share.UsageShare(environment, self.replicas, self.placing)
+        if replica_protocol:
+            self.load_share = usage_share.UsageShare(environment, self.replicas, self.placing)
         self.backup_releases = backup_releases.BackupReleases(
             environment, self.gossip, self.handle_releases, self.journal
         )
-        self.flight = 0
-        self.held_waiting = 0  # held handles that wait for a decode place
+        self.in_flight = 0
+        self.handles_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
         self.lock = threading.Lock()
 
@@ -71,53 +73,53 @@
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     @contextlib.contextmanager
-    def held_wait(self):
+    def waiting_for_decode(self):
         """While a held handle waits for a decode place, no new prompt is admitted here."""
         with self.lock:
-            self.held_waiting += 1
+            self.handles_waiting += 1
         try:
             yield
         finally:
             with self.lock:
-                self.held_waiting -= 1
+                self.handles_waiting -= 1
 
-    def enter(self):
+    def begin_request(self):
         with self.lock:
             if self.stopping:
                 return False
-            self.flight += 1
+            self.in_flight += 1
             return True
 
-    def leave(self):
+    def end_request(self):
         with self.lock:
-            self.flight -= 1
+            self.in_flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
         """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
-        until = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
-        while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
+        deadline = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
+        while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
             raise verdict.CallerLeft()
         return self.lease.current()
 
-    def drain(self, most):
+    def drain(self, timeout_s):
         """Lingers while new requests still come, then takes nothing new; True once nothing is left."""
         self.leaving = True
         self.environment.sleep(self.settings.get("linger_s", 0))
         with self.lock:
             self.stopping = True
-        until = self.environment.now() + most
-        while self.environment.now() < until:
-            if not self.busy():
+        deadline = self.environment.now() + timeout_s
+        while self.environment.now() < deadline:
+            if not self.is_busy():
                 return True
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         return False
 
-    def busy(self):
+    def is_busy(self):
         """Whether a request or its answer is under way, or a free is left to be sent."""
         return (
-            self.flight > 0
+            self.in_flight > 0
             or self.handle_releases.count_pending() > 0
             or self.server is not None
             and self.server.exchanging()
@@ -142,7 +144,7 @@
             "sequence": sequence,
             "active": self.lease.active,
             "staged": self.lease.staged,
-            "flight": self.flight,
+            "flight": self.in_flight,
             "waiting": self.admission.queued_count(),
             "frees_left": self.handle_releases.count_pending(),
             "extra_sends_left": self.retry_budget.rounded_available(),
@@ -155,7 +157,7 @@
         }
 
     def front(self):
-        app = route_front.RouteFront(self) if self.speech else router_front.CompletionsFront(self)
+        app = route_front.RouteFront(self) if self.replica_protocol else router_front.CompletionsFront(self)
         self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
         return self.server
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -47,7 +47,7 @@
         router = self.router
         headers = front.headers_of(environ)
         headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
-        if not router.enter():
+        if not router.begin_request():
             return front.fault(
                 start, 503, "this router is stopping", retry=constants.RETRY_AFTER_S, headers=[("Connection", "close")]
             )
@@ -56,7 +56,7 @@
             execution = request_execution.RequestExecution(router, request).run()
             first = next(execution)
         except BaseException as e:
-            router.leave()
+            router.end_request()
             return self.respond_failure(start, e, headers)
         if request.stream:
             start(front.line(200), [("Content-Type", "text/event-stream"), ("X-Request-Id", request.id)])
@@ -66,7 +66,7 @@
         except BaseException as e:
             return self.respond_failure(start, e, headers)
         finally:
-            router.leave()
+            router.end_request()
         router.journal.add("request", outcome="done", request=request.id)
         return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
 
@@ -184,5 +184,5 @@
         if self.open:
             self.open = False
             self.execution.close()
-            self.router.leave()
+            self.router.end_request()
             self.router.journal.add("request", outcome=self.outcome, request=self.request.id)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -74,7 +74,7 @@
         {**HEADERS, **change.get("headers", {})},
     )
     assert got[0] == status and got[2]["error"]["verdict"] == "not_run"
-    assert day.parts["route-1"].flight == 0 and not any(r["kind"] == "seen" for r in day.ledger)
+    assert day.parts["route-1"].in_flight == 0 and not any(r["kind"] == "seen" for r in day.ledger)
 
 
 def test_without_a_configuration_a_request_is_bounced_with_retry_after():
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -50,7 +50,7 @@
 
 
 def ended(site):
-    platform_site.until(lambda: site.router.flight == 0, SPAN)
+    platform_site.until(lambda: site.router.in_flight == 0, SPAN)
 
 
 @pytest.mark.parametrize("surplus", [b"", b"POST /p/y HTTP/1.1\r\n"], ids=["closed", "closed after surplus bytes"])
--- a/tests/test_exchange_moments.py
+++ b/tests/test_exchange_moments.py
@@ -93,7 +93,7 @@
 
         replica.run = run
     own, answer = site.ask(host, prompt=False)
-    platform_site.until(lambda: site.router.flight == 0)
+    platform_site.until(lambda: site.router.in_flight == 0)
     return site.platform.ran(own), answer, platform_site.asked(replicas)
 
 
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -136,7 +136,7 @@
     site = platform_site.Site()
     try:
         host, (replica,) = site.service("p")
-        order, place = site.router.speech.order_role, site.router.replicas.place(replica.name)
+        order, place = site.router.replica_protocol.order_role, site.router.replicas.place(replica.name)
         with pytest.raises(web.WebFault):
             order(site.environment, place, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -230,7 +230,7 @@
     host, (replica,) = site.service("p")
     replica.order_status = status
     place = site.router.replicas.place(replica.name)
-    assert site.router.speech.order_role(site.environment, place, "decode", 41, "k1", 3) == taken
+    assert site.router.replica_protocol.order_role(site.environment, place, "decode", 41, "k1", 3) == taken
     assert replica.orders == [{"order": "leg", "leg": "decode", "bearer": "k1", "fence_no": 41}]
 
 
@@ -238,5 +238,5 @@
     host, (replica,) = site.service("p")
     place = site.router.replicas.place(replica.name)
     replica.name = "i-another"  # a new life, perhaps of another service, before the list shows it
-    assert not site.router.speech.order_role(site.environment, place, "decode", 41, "k1", 3)
+    assert not site.router.replica_protocol.order_role(site.environment, place, "decode", 41, "k1", 3)
     assert replica.orders == []
--- a/tests/test_platform_raw.py
+++ b/tests/test_platform_raw.py
@@ -108,7 +108,7 @@
     said = say(
         site, b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Length: 9\r\n\r\nabc" % host.encode(), 1.5
     )
-    platform_site.until(lambda: site.router.flight == 0)
+    platform_site.until(lambda: site.router.in_flight == 0)
     assert [r.body for r in replica.asked] == [] and b" 200 " not in said[:20]
 
 
--- a/tests/test_platform_streams.py
+++ b/tests/test_platform_streams.py
@@ -113,4 +113,4 @@
     conn.request("POST", "/p/x", b"", {"Host": host, "Try-Id": "gone", **platform_site.PROMPT})
     assert conn.getresponse().read(5)
     conn.close()
-    platform_site.until(lambda: writer.left == 1 and site.router.flight == 0 and not reader.held, 3.0)
+    platform_site.until(lambda: writer.left == 1 and site.router.in_flight == 0 and not reader.held, 3.0)
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -191,7 +191,7 @@
     size = design.Size(routers=2, replicas=replicas)
     fleet = fleet_module.HollowFleet("requests", size).ready()
     router = fleet.routers()[0]
-    router.speech = HollowSpeech(events, router.speech)
+    router.replica_protocol = HollowSpeech(events, router.replica_protocol)
     app = route_front.RouteFront(router)
     environ = {
         "REQUEST_METHOD": "POST",
--- a/tools/simulator/days_of_machines.py
+++ b/tools/simulator/days_of_machines.py
@@ -16,7 +16,7 @@
 
     def watch():
         held = any(f.parts[r].running and f.parts[r].role == "prefill" for r in f.names("replica"))
-        if f.parts[name].flight and held:
+        if f.parts[name].in_flight and held:
             base.restart_machine(f, name, 0)
         else:
             f.later(0.002, watch)
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -100,7 +100,7 @@
     return ours, {}, 0
 
 
-def stop_at_once(self, most):
+def stop_at_once(self, timeout_s):
     with self.lock:
         self.stopping = True
     return True
