--- a/mothshed/data_plane/handle_releases.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -16,7 +16,7 @@
 class HandleReleases:
     def __init__(self, environment, journal, release_handle=None):
         self.environment, self.journal = environment, journal
-        self.release_handle = release_handle or replica_adapter.free
+        self.release_handle = release_handle or replica_adapter.release_handle
         self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
         self.retries = []  # (due, pause, handle): failed once, tried again
         self.event = environment.new_event()
@@ -44,10 +44,10 @@
         except web.WebFault:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
-        if done or self.environment.now() - handle.born >= constants.HANDLE_RELEASE_TTL_S:
+        if done or self.environment.now() - handle.created_at >= constants.HANDLE_RELEASE_TTL_S:
             self.notify_finished(handle)
         else:
             self.retries.append((self.environment.now() + delay, 2 * delay, handle))
 
     def count_pending(self):
-        return len(self.queue) + sum(entry[2].heard for entry in self.retries)
+        return len(self.queue) + sum(entry[2].confirmed for entry in self.retries)
--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -40,9 +40,9 @@
         zone,
         prefill_replicas,
         decode_replicas,
-        {n: replicas.usage(n) for n in names},
+        {n: replicas.estimated_load(n) for n in names},
         {n: replicas.rows[n]["cell"] for n in names},
-        {n for n in names if replicas.room(n)},
+        {n for n in names if replicas.has_room(n)},
     )
 
 
@@ -57,7 +57,11 @@
         if prefill_replica is None or decode_replica is None:
             return None
         return Plan(
-            sequence, rule["pool"], rule["policy"], replicas.place(prefill_replica), replicas.place(decode_replica)
+            sequence,
+            rule["pool"],
+            rule["policy"],
+            replicas.endpoint(prefill_replica),
+            replicas.endpoint(decode_replica),
         )
 
 
@@ -69,7 +73,7 @@
     with replicas.lock:
         candidates = find_candidates(replicas, document, rule, request, zone, excluded)
         decode_replica = pairing.least_loaded(candidates, candidates.decode_replicas)
-        return replicas.place(decode_replica) if decode_replica else None
+        return replicas.endpoint(decode_replica) if decode_replica else None
 
 
 def is_still_allowed(replicas, document, request, replica):
--- a/mothshed/data_plane/request_execution.py
+++ b/mothshed/data_plane/request_execution.py
@@ -26,7 +26,7 @@
         self.chart = charts.load("request")
         self.failures = []
         self.may_have_run = False  # some send of this request ran or may have
-        self.send_id_prefix = replica_adapter.ask_of(request, self.environment.random)
+        self.send_id_prefix = replica_adapter.unique_request_id(request, self.environment.random)
         self.sends_written = {"prefill": 0, "decode": 0}  # those written to a replica
         self.prefill_attempts, self.send_number = 0, 0  # prefills begun; sends named
         self.excluded = set()
@@ -66,9 +66,9 @@
         if failure.replica:
             self.excluded.add(failure.replica)
             if failure.verdict is NOT_RUN and failure.reason.startswith("status 503"):
-                self.router.replicas.full(failure.replica)
+                self.router.replicas.mark_full(failure.replica)
             if failure.reason.startswith(("NewConnection", "ConnectTimeout")):
-                self.router.replicas.doubt(failure.replica)
+                self.router.replicas.suspect(failure.replica)
         self.router.journal.add(
             "send_failed",
             outcome=failure.verdict.value,
@@ -81,7 +81,7 @@
         """Returns if the whole request may be done over; raises its end otherwise."""
         if self.chart.state == "relaying":
             self.chart.step("break")
-            raise verdict.StreamBroken(str(failure)) from failure
+            raise verdict.StreamInterrupted(str(failure)) from failure
         must_not_repeat = self.may_have_run and not self.request.safe_to_repeat
         if must_not_repeat or self.prefill_attempts >= constants.MAX_PREFILL_ATTEMPTS or not self.take_retry_budget():
             self.raise_final_failure()
@@ -120,8 +120,8 @@
             if plan is None and self.excluded:
                 plan = planning.make(router.replicas, sequence, document, request, router.zone)
             if plan:
-                router.replicas.begin(plan.prefill_replica.name)
-                router.replicas.begin(plan.decode_replica.name)
+                router.replicas.request_started(plan.prefill_replica.name)
+                router.replicas.request_started(plan.decode_replica.name)
             return plan
 
         try:
@@ -139,14 +139,14 @@
         self.reserved_prefill, self.reserved_decode = plan.prefill_replica.name, plan.decode_replica.name
         try:
             self.prefill(plan)
-            replicas.end(self.reserved_prefill)
+            replicas.request_ended(self.reserved_prefill)
             self.reserved_prefill = None
             self.router.admission.wake_head()
             yield from self.relay(self.decode(plan))
         finally:
             for name in (self.reserved_prefill, self.reserved_decode):
                 if name:
-                    replicas.end(name)
+                    replicas.request_ended(name)
             self.router.admission.wake_head()
 
     def relay(self, started_stream):
--- a/mothshed/data_plane/request_parsing.py
+++ b/mothshed/data_plane/request_parsing.py
@@ -83,7 +83,7 @@
         safe_to_repeat == "true",
         path,
         forwarded_body,
-        replica_adapter.prompt_of(path, body),
+        replica_adapter.prompt_text(path, body),
         body.get("stream", False),
         arrived_at,
         arrived_at + cutoff_s,
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -59,7 +59,7 @@
         raise rejection
 
     def take_permit(self) -> None:
-        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerLeft."""
+        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerDisconnected."""
         request = self.request
         if request.identity is None:
             return
@@ -88,9 +88,9 @@
         return check
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerLeft if nobody waits for the answer any more."""
+        """Raises CallerDisconnected if nobody waits for the answer any more."""
         if self.request.caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
 
     def time_left(self):
         time_left = self.request.cutoff - self.environment.now()
@@ -109,7 +109,7 @@
         replicas, request = self.router.replicas, self.request
         deadline = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
         for name in (self.reserved_prefill, self.reserved_decode):
-            replicas.end(name)
+            replicas.request_ended(name)
         self.reserved_prefill = self.reserved_decode = None
         while True:
             self.stop_if_caller_left()
@@ -119,8 +119,8 @@
                     plan.sequence, plan.pool, plan.policy = sequence, new_plan.pool, new_plan.policy
                     plan.prefill_replica, plan.decode_replica = new_plan.prefill_replica, new_plan.decode_replica
                     self.reserved_prefill, self.reserved_decode = plan.prefill_replica.name, plan.decode_replica.name
-                    replicas.begin(self.reserved_prefill)
-                    replicas.begin(self.reserved_decode)
+                    replicas.request_started(self.reserved_prefill)
+                    replicas.request_started(self.reserved_decode)
                     return
             if self.environment.now() >= deadline or planning.rule_for(document, request.kind, request.tenant) is None:
                 raise verdict.SendFailure(NOT_RUN, "no free pair under the newer configuration")
@@ -154,7 +154,7 @@
                 )
                 break
             except verdict.SendFailure as e:
-                unconfirmed_handle = replica_adapter.unheard(self.environment, send_id, plan.prefill_replica)
+                unconfirmed_handle = replica_adapter.unconfirmed_handle(self.environment, send_id, plan.prefill_replica)
                 if e.verdict is NOT_RUN:
                     self.router.backup_releases.cancel(unconfirmed_handle)
                 else:  # it may hold, or come to hold, what we never heard of
@@ -167,7 +167,9 @@
     def decode(self, plan):
         """Decodes the handle, elsewhere if bounced; returns the stream begun."""
         replicas, rejected = self.router.replicas, set()
-        deadline = min(self.request.cutoff, self.handle.born + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S)
+        deadline = min(
+            self.request.cutoff, self.handle.created_at + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S
+        )
         while True:
             sequence, document = self.wait_for_configuration()
             if plan.decode_replica is None or not planning.is_still_allowed(
@@ -183,9 +185,9 @@
                     with self.router.waiting_for_decode():
                         self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
                     continue
-                replicas.end(self.reserved_decode)
+                replicas.request_ended(self.reserved_decode)
                 plan.decode_replica, self.reserved_decode = replacement, replacement.name
-                replicas.begin(self.reserved_decode)
+                replicas.request_started(self.reserved_decode)
                 if self.router.lease.sequence() != sequence:
                     continue
             self.chart.step("decode")
@@ -204,7 +206,7 @@
             except verdict.SendFailure as e:
                 if e.reason == web.NOT_READY:
                     continue
-                may_retry = e.verdict is NOT_RUN and not e.gone
+                may_retry = e.verdict is NOT_RUN and not e.handle_lost
                 while may_retry and not self.router.retry_budget.take_or_borrow(int(self.sends_written["decode"] > 0)):
                     may_retry = self.environment.now() < deadline
                     self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
@@ -220,6 +222,6 @@
         try:
             first = next(tokens)
         except StopIteration:
-            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.place.name) from None
+            raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, "empty stream", stream.endpoint.name) from None
         self.release_handle()
         return stream, first, tokens
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -9,18 +9,18 @@
 import mothshed.data_plane.admission as admission
 import mothshed.data_plane.backup_releases as backup_releases
 import mothshed.data_plane.handle_releases as handle_releases
+import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
 import mothshed.data_plane.placing as placing
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
-import mothshed.data_plane.usage_share as usage_share
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.leaders as leaders
-import mothshed.replicas.listed as listed
+import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.counters as counters
@@ -36,14 +36,14 @@
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
-            listed.Listed(
+            listed_replicas.ListedReplicas(
                 environment, settings["list_url"], self.journal, replica_protocol, lambda: self.gossip.keepers()
             )
             if replica_protocol
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
         self.gossip = gossip.Gossip(environment, settings["name"], "route", self.zone, settings["seeds"], self.replicas)
-        self.replicas.sharers = self.gossip.count_routers
+        self.replicas.router_count = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
         self.admission = admission.Admission(environment)
@@ -51,14 +51,14 @@
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
         self.handle_releases = handle_releases.HandleReleases(
-            environment, self.journal, (replica_protocol or replica_adapter).free
+            environment, self.journal, (replica_protocol or replica_adapter).release_handle
         )
         self.placing = placing.Placing(environment, self.replicas, self.zone)
         self.tables = routes.Tables()
         self.leaders = self.replicas.leaders if replica_protocol else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
         if replica_protocol:
-            self.load_share = usage_share.UsageShare(environment, self.replicas, self.placing)
+            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placing)
         self.backup_releases = backup_releases.BackupReleases(
             environment, self.gossip, self.handle_releases, self.journal
         )
@@ -95,12 +95,12 @@
             self.in_flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """The sequence to serve under and its document, waited for a little; raises CallerLeft."""
+        """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
         deadline = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
-            raise verdict.CallerLeft()
+            raise verdict.CallerDisconnected()
         return self.lease.current()
 
     def drain(self, timeout_s):
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -102,8 +102,8 @@
             if error.status == 503:
                 add_entry("bounce", outcome="no_lease" if self.router.lease.sequence() is None else error.cause)
             headers_out += identity.challenge(error.status)
-            return front.fault(start, error.status, error.reason, retry=error.retry, headers=headers_out)
-        if isinstance(error, verdict.CallerLeft):
+            return front.fault(start, error.status, error.reason, retry=error.retry_after_s, headers=headers_out)
+        if isinstance(error, verdict.CallerDisconnected):
             add_entry("request", outcome="left")
             return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=headers_out)
         if isinstance(error, verdict.RequestFailure):
@@ -172,7 +172,7 @@
             for token in self.execution:
                 yield self.encode_event(token, created)
             yield b"data: [DONE]\n\n"
-        except verdict.StreamBroken:
+        except verdict.StreamInterrupted:
             self.outcome = "broken"
             raise
         self.outcome = "done"
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -14,7 +14,7 @@
         self.seats = {member_id: Seat(self, member_id) for member_id in "ABC"}
         self.leader_tasks = {}
         for member_id, seat in self.seats.items():
-            self.leader_tasks[member_id] = orders.OrderDuty(seat, None, Lease(), None)
+            self.leader_tasks[member_id] = orders.OrderTask(seat, None, Lease(), None)
             self.leader_tasks[member_id].tenure = tenure
         self.log, self.leader, self.frozen = [], None, {}
         self.arrived = []  # (time, who, fence)
@@ -57,7 +57,7 @@
     def __init__(self, group, member_id):
         self.group, self.member_id, self.part = group, member_id, 1
         self.environment = all_orders.ManualEnvironment(group.pool, member_id)
-        self.machine, self.applied = service_part.ServiceMachine(), 0
+        self.machine, self.last_applied = service_part.ServiceMachine(), 0
         self.leader_tasks, self.quorum_until = [], 0.0
 
     def renew(self):
@@ -67,9 +67,9 @@
         return self.environment.now() < self.quorum_until
 
     def catch_up(self):
-        for command in self.group.log[self.applied :]:
+        for command in self.group.log[self.last_applied :]:
             self.result = self.machine.apply(0, command)
-        self.applied = len(self.group.log)
+        self.last_applied = len(self.group.log)
 
     def propose(self, command, call=lambda result: None):
         self.group.commit(command)
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -2,8 +2,8 @@
 
 import mothshed.configuration.lease as lease
 import mothshed.constants as constants
+import mothshed.control_plane.config_leader_task as config_leader_task
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.config_part as config_part
 import mothshed.control_plane.keeper as keeper
 import mothshed.control_plane.orders as orders
 import mothshed.control_plane.reconfiguration as reconfiguration
@@ -48,8 +48,8 @@
     "the lease is checked before a send": (
         weakened.put(
             lease.Lease,
-            sequence=lambda self: self.view[0] if self.view[2] else None,
-            current=lambda self: (self.view[0], self.view[2]) if self.view[2] else (None, None),
+            sequence=lambda self: self.published[0] if self.published[2] else None,
+            current=lambda self: (self.published[0], self.published[2]) if self.published[2] else (None, None),
         ),
         "core_cut",
         "new after ack",
@@ -65,17 +65,17 @@
         "no fall back",
     ),
     "activation waits for the leaseholders": (
-        weakened.put(config_part.ConfigDuty, try_activate=weakened.activate_at_once),
+        weakened.put(config_leader_task.ConfigLeaderTask, try_activate=weakened.activate_at_once),
         "router_loses_keepers",
         "no fall back",
     ),
     "a lease answer needs a majority": (
-        weakened.put(replication.Replication, confirm=weakened.confirm_alone),
+        weakened.put(replication.Replication, confirm_leadership=weakened.confirm_alone),
         "frozen_owner_with_company",
         "new after ack",
     ),
     "a write needs a majority": (
-        weakened.put(replication.Replication, count_commit=weakened.count_alone),
+        weakened.put(replication.Replication, advance_commit_index=weakened.count_alone),
         "owner_cut_off",
         "writes kept",
     ),
@@ -90,7 +90,7 @@
         "writes kept",
     ),
     "a wiped member is somebody new": (
-        weakened.put(keeper, incarnation=lambda disk, name, chance: f"{name}/same"),
+        weakened.put(keeper, load_member_id=lambda disk, name, token_hex: f"{name}/same"),
         "wiped_and_cut",
         "writes kept",
     ),
@@ -105,7 +105,7 @@
         "orders fenced",
     ),
     "a leaving replica is left alone": (
-        weakened.put(replicas.Replicas, take_list=weakened.deaf_to_leaving),
+        weakened.put(replicas.Replicas, update_list=weakened.deaf_to_leaving),
         "leaving",
         "leaving",
     ),
@@ -166,7 +166,7 @@
         "new after ack",
     ),
     "a pool's bounds hold over its parts": (
-        weakened.put(orders.OrderDuty, shared=weakened.alone),
+        weakened.put(orders.OrderTask, pool_replicas=weakened.alone),
         "small_pool_renamed",
         "pool whole",
     ),
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -34,36 +34,36 @@
 
 def repeat_unsafe(self, failure):
     if self.chart.state == "relaying":
-        raise verdict.StreamBroken(str(failure)) from failure
+        raise verdict.StreamInterrupted(str(failure)) from failure
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.raise_final_failure()
 
 
 def count_alone(self):
     """Commits what the leader alone has written."""
-    if self.log.last > self.commit:
-        self.commit = self.log.last
+    if self.log.last > self.commit_index:
+        self.commit_index = self.log.last
         self.apply_all()
 
 
 def stage_anyway(self, index, command):
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
-    self.drop_documents()
+    self.drop_old_documents()
     self.changed("stage", self.latest)
     return {"sequence": self.latest}
 
 
 def activate_at_once(self):
     m = self.machine
-    if self.on and m.latest > m.active and not self.asking:
-        self.asking = True
-        self.member.propose({"op": "activate", "sequence": m.latest}, self.activated)
+    if self.leading and m.latest > m.active and not self.activation_proposed:
+        self.activation_proposed = True
+        self.member.propose({"op": "activate", "sequence": m.latest}, self.activation_finished)
 
 
 def take_level(self, index, command):
     if command["op"] == "take":
-        self.holder, self.standing = command["who"], 1
+        self.order_leader, self.fencing_token = command["who"], 1
         return {"standing": 1}
     return APPLY(self, index, command)
 
@@ -131,7 +131,7 @@
     handle = PREFILL(environment, request, name, place, sequence, left, ready)
     KEPT.append(handle)
     other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
-    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.born)
+    return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.created_at)
 
 
 def loose_ends(self):
@@ -147,9 +147,9 @@
 
 
 ADMIT = request_execution.RequestExecution.admit
-SHARED = orders.OrderDuty.shared
+SHARED = orders.OrderTask.pool_replicas
 APPLY = service_part.ServiceMachine.apply
-TAKE_LIST = replicas.Replicas.take_list
+TAKE_LIST = replicas.Replicas.update_list
 PREFILL = replica_adapter.prefill
 ITER = replica_adapter.Stream.__iter__
 KEPT = []
