--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -66,12 +66,12 @@
 
 class RouteFront:
     def __init__(self, router):
-        self.router, self.protocol, self.environment = router, router.speech, router.environment
+        self.router, self.protocol, self.environment = router, router.replica_protocol, router.environment
 
     def __call__(self, environ, start_response):
         router, caller = self.router, environ.get("mothshed.caller") or caller_module.Caller()
         arrived_at = self.environment.now() if caller.arrived is None else caller.arrived
-        if not router.enter():
+        if not router.begin_request():
             return self.error_response(start_response, 503, "this router is stopping", constants.ROUTE_RETRY_AFTER_S)
         delivery = None
         try:
@@ -79,7 +79,7 @@
             delivery = delivery_module.Delivery(router, request)
             response_start = delivery.start()
         except BaseException as error:
-            router.leave()
+            router.end_request()
             return self.failure_response(start_response, error, delivery.request.id if delivery else "")
         reply = response_start[0]
         headers = [
@@ -195,5 +195,5 @@
             self.events.close()
             self.delivery.release()
             self.delivery.record_long_pauses()
-            self.router.leave()
+            self.router.end_request()
             self.router.journal.add("delivery", outcome=self.outcome, request=self.delivery.request.id)
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -139,7 +139,7 @@
         router = router_module.Router(self.environment(machine, settings["address"]), settings)
         router.run()
         self.parts[name] = router
-        self.net.apps[settings["http"]] = (machine, router_front.RouterFront(router))
+        self.net.apps[settings["http"]] = (machine, router_front.CompletionsFront(router))
 
     # --- what happens to machines ---
     def kill(self, name, planned=False):
