--- a/mothshed/data_plane/delivery.py
+++ b/mothshed/data_plane/delivery.py
@@ -1,10 +1,9 @@
 """Delivers a request of a route unchanged: prefill, decode, release of the KV memory, events.
 
-In the protocol of routed replicas a prefill is not a run and may be repeated, while a decode is a run. A request that
-is not repeatable goes to a second decode replica only if the first one proved that it did not run. A resumable stream
-that breaks continues at another replica after the last event delivered, under the head of the first response. KV
-memory that is still held is released on every exit. A replica's own error response is forwarded unchanged if nothing
-better is available.
+For routed replicas a prefill is not a run and may be repeated; a decode is a run. A request that is not repeatable
+goes to a second decode replica only if the first one proved that it did not run. A resumable stream that breaks
+continues at another replica after the last event delivered, under the head of the first response. KV memory still
+held is released on every exit. A replica's own error response is forwarded unchanged if nothing better is available.
 """
 
 import itertools
@@ -28,7 +27,8 @@
 
 class Delivery(delivery_sends.DeliverySends, placement_wait.PlacementWait):
     def __init__(self, router, request):
-        self.router, self.environment, self.request, self.protocol = router, router.environment, request, router.replica_protocol
+        self.router, self.environment, self.request = router, router.environment, request
+        self.protocol = router.replica_protocol
         self.route = request.route
         self.repeatable = routes.is_repeatable(self.route)
         self.failures, self.excluded = [], set()
