--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -57,7 +57,11 @@
         if prefill_replica is None or decode_replica is None:
             return None
         return Plan(
-            sequence, rule["pool"], rule["policy"], replicas.endpoint(prefill_replica), replicas.endpoint(decode_replica)
+            sequence,
+            rule["pool"],
+            rule["policy"],
+            replicas.endpoint(prefill_replica),
+            replicas.endpoint(decode_replica),
         )
 
 
--- a/tests/all_orders.py
+++ b/tests/all_orders.py
@@ -1,8 +1,7 @@
-"""Tries every order of a few messages, one by one.
+"""Explores every delivery order of a few messages.
 
-A case is built afresh for each order. Messages wait in a pool; a script of
-choices says which is delivered next, and the explorer walks all scripts up to a
-depth, after which messages come first in, first out.
+A new case is built for each order. Messages wait in a pool; a script of choices selects the next one to deliver.
+The explorer runs all scripts up to a depth, beyond which messages are delivered first in, first out.
 """
 
 import itertools
@@ -16,24 +15,24 @@
 class Pool:
     def __init__(self):
         self.time = 100.0
-        self.waiting = []  # (goal, sender, kind, body)
-        self.ears = {}  # address -> {(kind, part): call}
+        self.waiting = []  # (destination, sender, kind, body)
+        self.handlers = {}  # address -> {(kind, part): callback}
         self.steps = 0
 
-    def deliver(self, at):
-        goal, sender, kind, body = self.waiting.pop(at)
-        ears = self.ears.get(goal, {})
-        call = ears.get((kind, body.get("part"))) or ears.get((kind, None))
+    def deliver(self, index):
+        destination, sender, kind, body = self.waiting.pop(index)
+        handlers = self.handlers.get(destination, {})
+        call = handlers.get((kind, body.get("part"))) or handlers.get((kind, None))
         if call:
             call(sender, body)
 
 
 class ManualEnvironment:
-    """An environment whose time and messages are moved by hand; timers never fire by themselves."""
+    """An environment whose time and messages are controlled by a test; timers never fire by themselves."""
 
-    def __init__(self, pool, address, chance=1):
+    def __init__(self, pool, address, seed=1):
         self.pool, self.address = pool, address
-        self.random = random.Random(chance)
+        self.random = random.Random(seed)
         self.timers = []
 
     def now(self):
@@ -46,17 +45,17 @@
         self.timers.append(call)
         return types.SimpleNamespace(cancel=lambda: None)
 
-    def send(self, goal, kind, **body):
-        if goal:
-            records.CODEC.check_fields(kind, body)  # what a record does not carry would be lost on the way
-            self.pool.waiting.append((goal, self.address, kind, body))
+    def send(self, destination, kind, **body):
+        if destination:
+            records.CODEC.check_fields(kind, body)  # a field that the record does not carry would be lost
+            self.pool.waiting.append((destination, self.address, kind, body))
 
     def send_to_each(self, addresses, kind, **body):
         for address in addresses:
             self.send(address, kind, **body)
 
     def subscribe(self, kind, call, part=None):
-        self.pool.ears.setdefault(self.address, {})[(kind, part)] = call
+        self.pool.handlers.setdefault(self.address, {})[(kind, part)] = call
 
 
 def disk():
@@ -64,44 +63,45 @@
     return environment_module.SimDisk(loop, None)
 
 
-def next_ones(pool, lines):
-    """Places in the pool that may come next; with lines, only the first of each sender to each goal."""
-    if not lines:
+def deliverable_indexes(pool, per_link_order):
+    """Indexes that may be delivered next; with per_link_order, only the first of each sender to each destination."""
+    if not per_link_order:
         return range(len(pool.waiting))
     seen = {}
-    for at, (goal, sender, _kind, _body) in enumerate(pool.waiting):
-        seen.setdefault((goal, sender), at)
+    for index, (destination, sender, _kind, _body) in enumerate(pool.waiting):
+        seen.setdefault((destination, sender), index)
     return sorted(seen.values())
 
 
-def explore(make, check, depth, most=30000, lines=False, end=lambda case: None):
+def explore(make, check, depth, max_orders=30000, per_link_order=False, end=lambda case: None):
     """make() -> (pool, case); check(case) after every delivery, end(case) after the last.
 
-    lines: what one sends another keeps its order, as on a connection. Returns how many orders ran.
+    per_link_order: messages of one sender to one destination keep their order, as on a connection.
+    Returns the number of orders that were run.
     """
     count, script = 0, []
-    while script is not None and count < most:
+    while script is not None and count < max_orders:
         pool, case = make()
         widths, at = [], 0
         while pool.waiting and pool.steps < 200:
             pool.steps += 1
             if at < depth:
                 pick = script[at] if at < len(script) else 0
-                widths.append((pick, len(next_ones(pool, lines))))
+                widths.append((pick, len(deliverable_indexes(pool, per_link_order))))
                 at += 1
             else:
                 pick = 0
-            pool.deliver(next_ones(pool, lines)[pick])
+            pool.deliver(deliverable_indexes(pool, per_link_order)[pick])
             check(case)
         end(case)
         count += 1
-        script = following(widths)
-    assert script is None, "more orders than the test allows for"
+        script = next_script(widths)
+    assert script is None, "more delivery orders than max_orders"
     return count
 
 
-def following(widths):
-    """The next script in order, or None after the last."""
+def next_script(widths):
+    """The next script in lexicographic order, or None after the last."""
     for at in range(len(widths) - 1, -1, -1):
         pick, width = widths[at]
         if pick + 1 < width:
@@ -109,5 +109,5 @@
     return None
 
 
-def orders(things):
-    return list(itertools.permutations(things))
+def permutations(items):
+    return list(itertools.permutations(items))
--- a/tests/group_model.py
+++ b/tests/group_model.py
@@ -1,8 +1,8 @@
-"""A group of members whose messages, clocks, crashes and disks are moved by hand.
+"""A consensus group whose messages, clock, crashes and disks are controlled by a test.
 
-Used by model tests: it applies the product's own Member, checks after every step that
-no two leaders share a term and that no index is applied with two commands, and can
-bring the group to rest at the end to see whether what was acknowledged is there.
+It runs the real Member class. After every step it checks that no two leaders share a term and that no two
+commands are applied at one index; at the end it lets the group converge and checks that every acknowledged write
+is there.
 """
 
 import itertools
@@ -12,12 +12,12 @@
 import mothshed.control_plane.reconfiguration as reconfiguration
 import tests.all_orders as all_orders
 
-STEP = 0.05  # s; the clock's step while the group comes to rest
-REST_STEPS = 400  # steps that a group is given to come to rest
+STEP = 0.05  # seconds per step while the group converges
+MAX_CONVERGE_STEPS = 400  # steps within which a group must converge
 
 
 class Recorder:
-    """A machine that keeps what was applied, and compares it with all others."""
+    """A state machine that records applied commands and compares them with those of all members."""
 
     commands = frozenset({"note"})
 
@@ -25,8 +25,8 @@
         self.history, self.rows = history, []
 
     def apply(self, index, command):
-        said = self.history.setdefault(index, command)
-        assert said == command, f"index {index} is {said} and {command}"
+        known = self.history.setdefault(index, command)
+        assert known == command, f"index {index} is {known} and {command}"
         if command["op"] == "note":
             self.rows.append(command["n"])
         return {"index": index}
@@ -45,15 +45,15 @@
         self.pool = all_orders.Pool()
         self.failure_tolerance = reconfiguration.FailureTolerance(losses, 4.0)
         self.history, self.leaders, self.acknowledged = {}, {}, []
-        self.seats, self.disks, self.marks, self.down = {}, {}, {}, set()
+        self.members, self.disks, self.incarnations, self.down = {}, {}, {}, set()
         self.count = 0
-        self.committed_at = {}  # index -> when a member first knew it committed
-        self.checked_commit_time_bounds = 0  # how many such moments were checked
-        self.leases = []  # (term of the leader that a majority confirmed, when the lease was asked for)
+        self.first_committed_at = {}  # index -> when a member first knew that it was committed
+        self.checked_commit_time_bounds = 0  # number of bounds checked
+        self.leases = []  # (term of the confirmed leader, time of the lease request)
         names = [chr(ord("A") + n) for n in range(size)]
         voters = {f"{name}/1": {"address": self.address(name), "http": ""} for name in names}
         for name in names:
-            self.disks[name], self.marks[name] = all_orders.disk(), 1
+            self.disks[name], self.incarnations[name] = all_orders.disk(), 1
             log = member_module.disk_log.PartLog(self.disks[name], 0)
             log.put([{"i": 1, "t": 0, "c": {"op": "members", "members": voters, "outgoing": {}}}])
             self.boot(name)
@@ -64,126 +64,137 @@
 
     def boot(self, name):
         address = self.address(name)
-        self.pool.ears[address] = {}
-        seat = member_module.Member(
+        self.pool.handlers[address] = {}
+        member = member_module.Member(
             all_orders.ManualEnvironment(self.pool, address, f"{name}{self.count}"),
             self.disks[name],
             0,
-            f"{name}/{self.marks[name]}",
+            f"{name}/{self.incarnations[name]}",
             "",
             [],
             self.machine_class(self.history),
-            lambda: [self.address(other) for other in self.seats],
+            lambda: [self.address(other) for other in self.members],
             self.failure_tolerance,
         )
-        seat.start()
-        self.seats[name] = seat
+        member.start()
+        self.members[name] = member
         self.down.discard(name)
 
-    # --- what may happen ---
+    # --- events ---
     def crash(self, name):
         self.down.add(name)
-        self.pool.ears[self.address(name)] = {}
+        self.pool.handlers[self.address(name)] = {}
         self.disks[name].crash()
 
     def wipe(self, name):
         self.crash(name)
         self.disks[name] = all_orders.disk()
-        self.marks[name] += 1
+        self.incarnations[name] += 1
 
     def add(self, name):
-        """A machine that the group has not met."""
-        self.disks[name], self.marks[name] = all_orders.disk(), 1
+        """Starts a member on a new machine."""
+        self.disks[name], self.incarnations[name] = all_orders.disk(), 1
         self.boot(name)
 
     def tick(self, name):
         if name not in self.down:
-            self.seats[name].handle_disk_faults(self.seats[name].run_periodic_tasks)()
+            self.members[name].handle_disk_faults(self.members[name].run_periodic_tasks)()
 
-    def deliver(self, at):
+    def deliver(self, index):
         if self.pool.waiting:
-            self.pool.deliver(at % len(self.pool.waiting))
+            self.pool.deliver(index % len(self.pool.waiting))
 
     def propose(self, name):
-        """A write through this member, if it leads; noted once acknowledged."""
-        seat = self.seats[name]
-        if name in self.down or not (seat.is_leader and seat.ready):
+        """Proposes a write through this member if it leads, and records its acknowledgement."""
+        member = self.members[name]
+        if name in self.down or not (member.is_leader and member.ready):
             return
         self.count += 1
         number = self.count
-        seat.propose({"op": "note", "n": number}, lambda result: result and self.acknowledged.append(number))
+        member.propose({"op": "note", "n": number}, lambda result: result and self.acknowledged.append(number))
 
     def ask_lease(self, name):
-        """A lease asked of this member, if it leads; granted once a majority has confirmed it."""
-        seat = self.seats[name]
-        if name in self.down or not (seat.is_leader and seat.ready):
+        """Requests a lease from this member if it leads; it is granted once a majority has confirmed the leader."""
+        member = self.members[name]
+        if name in self.down or not (member.is_leader and member.ready):
             return
-        asked, term = self.pool.time, seat.log.term
-        seat.confirm_leadership(lambda good: good and self.leases.append((term, asked)))
-
-    # --- what must hold ---
-    def check_leases(self, seat):
-        """No lease of an earlier leader outlasts the moment from which this one takes them all for run out."""
-        end = seat.former_leases_end(constants.LONG_LEASE_S)
-        for term, asked in self.leases:
-            if term < seat.log.term:
-                left = asked + constants.LONG_LEASE_S - end
-                assert left <= 0, (
-                    f"a lease of term {term} runs {left:.2f} s past the wait of the leader of {seat.member_id}"
+        requested_at, term = self.pool.time, member.log.term
+        member.confirm_leadership(lambda good: good and self.leases.append((term, requested_at)))
+
+    # --- invariants ---
+    def check_leases(self, member):
+        """Checks that every lease of an earlier leader expires by the time that this leader assumes."""
+        end = member.former_leases_end(constants.LONG_LEASE_S)
+        for term, requested_at in self.leases:
+            if term < member.log.term:
+                remaining_s = requested_at + constants.LONG_LEASE_S - end
+                assert remaining_s <= 0, (
+                    f"a lease of term {term} outlives the wait of leader {member.member_id} by {remaining_s:.2f} s"
                 )
 
     def check_commit_time_bounds(self):
-        """What a member takes for the earliest moment at which an entry was committed is no later than it was."""
-        running = [seat for name, seat in self.seats.items() if name not in self.down]
-        for seat in running:
-            for index in range(1, seat.commit_index + 1):
-                self.committed_at.setdefault(index, self.pool.time)
-        for seat, index in itertools.product(running, self.committed_at):
-            moment = seat.not_committed_before(index)
-            if moment is not None:
+        """Checks that no bound on the commit time of an entry is later than its actual commit."""
+        running = [member for name, member in self.members.items() if name not in self.down]
+        for member in running:
+            for index in range(1, member.commit_index + 1):
+                self.first_committed_at.setdefault(index, self.pool.time)
+        for member, index in itertools.product(running, self.first_committed_at):
+            bound = member.not_committed_before(index)
+            if bound is not None:
                 self.checked_commit_time_bounds += 1
-                late_s = moment - self.committed_at[index]
-                assert late_s <= 0, f"{seat.member_id} takes index {index} for committed {late_s:.2f} s after it was"
+                late_s = bound - self.first_committed_at[index]
+                assert late_s <= 0, (
+                    f"the commit time bound of {member.member_id} for index {index} is {late_s:.2f} s too late"
+                )
 
     def check(self):
         self.check_commit_time_bounds()
-        for name, seat in self.seats.items():
-            if name not in self.down and seat.is_leader:
-                known = self.leaders.setdefault(seat.log.term, seat.member_id)
-                assert known == seat.member_id, f"two leaders of term {seat.log.term}: {known}, {seat.member_id}"
-                self.check_leases(seat)
-
-    def whole(self):
-        """Whether a leader has settled on just the members that there are: then a disk may be lost."""
-        wanted = {f"{name}/{mark}" for name, mark in self.marks.items()}
-        for name, seat in self.seats.items():
-            if name not in self.down and seat.is_leader and seat.ready and seat.commit_index >= seat.membership_index:
-                if not seat.membership.joint and set(seat.membership.voters) == wanted:
-                    newest = max(s.log.term for n, s in self.seats.items() if n not in self.down)
-                    return seat.log.term == newest
+        for name, member in self.members.items():
+            if name not in self.down and member.is_leader:
+                known = self.leaders.setdefault(member.log.term, member.member_id)
+                assert known == member.member_id, f"two leaders of term {member.log.term}: {known}, {member.member_id}"
+                self.check_leases(member)
+
+    def has_final_membership(self):
+        """Whether a leader has committed exactly the existing members as voters, so that a disk may be lost."""
+        wanted = {f"{name}/{incarnation}" for name, incarnation in self.incarnations.items()}
+        for name, member in self.members.items():
+            if (
+                name not in self.down
+                and member.is_leader
+                and member.ready
+                and member.commit_index >= member.membership_index
+            ):
+                if not member.membership.joint and set(member.membership.voters) == wanted:
+                    newest = max(member.log.term for name, member in self.members.items() if name not in self.down)
+                    return member.log.term == newest
         return False
 
-    def rest(self):
-        """Everything runs and is heard, in order, until the group is whole and all have applied the same."""
+    def converge(self):
+        """Runs all members and delivers in order until the membership is final and all states are equal."""
         for name in sorted(self.down):
             self.boot(name)
-        for _ in range(REST_STEPS):
+        for _ in range(MAX_CONVERGE_STEPS):
             self.pool.time += STEP
-            for name in sorted(self.seats):
+            for name in sorted(self.members):
                 self.tick(name)
             for _ in range(len(self.pool.waiting) + 200):
                 if self.pool.waiting:
                     self.pool.deliver(0)
                     self.check()
-            if self.whole() and len({tuple(s.machine.rows) for s in self.seats.values()}) == 1:
+            if (
+                self.has_final_membership()
+                and len({tuple(member.machine.rows) for member in self.members.values()}) == 1
+            ):
                 return
         states = {
-            n: (s.chart.state, s.log.term, s.log.last, s.commit_index, s.membership) for n, s in self.seats.items()
+            name: (member.chart.state, member.log.term, member.log.last, member.commit_index, member.membership)
+            for name, member in self.members.items()
         }
-        raise AssertionError(f"the group does not come to rest: {states}")
+        raise AssertionError(f"the group does not converge: {states}")
 
     def finish(self):
-        self.rest()
-        kept = next(iter(self.seats.values())).machine.rows
+        self.converge()
+        kept = next(iter(self.members.values())).machine.rows
         assert set(self.acknowledged) <= set(kept), f"lost: {sorted(set(self.acknowledged) - set(kept))}"
         assert len(kept) == len(set(kept)), "a write was applied twice"
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -1,4 +1,4 @@
-"""Three members of one part as an order duty sees them: who leads, who is frozen, what their lease shows."""
+"""Three members of one part as their order tasks see them: the leader, frozen members, and the lease."""
 
 import mothshed.constants as constants
 import mothshed.control_plane.orders as orders
@@ -7,24 +7,26 @@
 
 
 class Group:
-    """Three members of one part: who leads, until when it is sure, and which of them are frozen."""
+    """Three members of one part: the leader, how long it has a quorum, and the frozen members."""
 
     def __init__(self, tenure):
         self.pool = all_orders.Pool()
-        self.seats = {member_id: Seat(self, member_id) for member_id in "ABC"}
+        self.members = {member_id: MemberStub(self, member_id) for member_id in "ABC"}
         self.leader_tasks = {}
-        for member_id, seat in self.seats.items():
-            self.leader_tasks[member_id] = orders.OrderTask(seat, None, Lease(), None)
+        for member_id, member in self.members.items():
+            self.leader_tasks[member_id] = orders.OrderTask(member, None, Lease(), None)
             self.leader_tasks[member_id].tenure = tenure
         self.log, self.leader, self.frozen = [], None, {}
-        self.arrived = []  # (time, who, fence)
+        self.arrived = []  # (time, member id, fencing token)
 
     def lead(self, member_id):
-        """An election: no vote is given before the last leader's sure time has run out."""
-        if member_id in self.frozen or any(seat.has_quorum() for w, seat in self.seats.items() if w != member_id):
+        """Elects a member; votes are withheld until no leader has a quorum any more."""
+        if member_id in self.frozen or any(
+            member.has_quorum() for other, member in self.members.items() if other != member_id
+        ):
             return
         self.leader = member_id
-        self.seats[member_id].renew()
+        self.members[member_id].renew()
         self.leader_tasks[member_id].start()
 
     def freeze(self, member_id):
@@ -32,13 +34,13 @@
 
     def commit(self, command):
         self.log.append(command)
-        for seat in self.seats.values():
-            if seat.member_id not in self.frozen:
-                seat.catch_up()
+        for member in self.members.values():
+            if member.member_id not in self.frozen:
+                member.catch_up()
 
 
 class Lease:
-    """A lease that runs until a test ends it, over a document that a test changes."""
+    """A lease that never expires, over a document that a test may change."""
 
     def __init__(self):
         self.number, self.pools = 1, {"main": {"selector": {"service": "main"}}}
@@ -47,12 +49,12 @@
         return self.number, {"pools": self.pools}
 
     def change(self, **pools):
-        """A newer configuration: the pools as they are, but for these."""
+        """Activates a newer configuration in which these pools are replaced."""
         self.number, self.pools = self.number + 1, {**self.pools, **pools}
 
 
-class Seat:
-    """A member as the duty sees it."""
+class MemberStub:
+    """A member as its order task sees it."""
 
     def __init__(self, group, member_id):
         self.group, self.member_id, self.part = group, member_id, 1
@@ -76,7 +78,7 @@
         call(self.result)
 
 
-def wait_a_while(group, span):
-    group.pool.time += span
+def advance_time(group, seconds):
+    group.pool.time += seconds
     if group.leader and group.leader not in group.frozen:
-        group.seats[group.leader].renew()
+        group.members[group.leader].renew()
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -81,9 +81,9 @@
         self.boot_router()
         self.lead(KEEPERS[0])
         self.pool.time += 100.0  # its bucket is full
-        self.pool.ears["script"] = {("event", None): lambda sender, body: getattr(self, body["name"])()}
+        self.pool.handlers["script"] = {("event", None): lambda sender, body: getattr(self, body["name"])()}
         for address in (ROUTER, *KEEPERS):
-            self.pool.ears[address][("timer", None)] = lambda sender, body: body["call"]()
+            self.pool.handlers[address][("timer", None)] = lambda sender, body: body["call"]()
         self.pool.waiting += [("script", "script", "event", {"name": name}) for name in events]
 
     def duty(self, seat):
@@ -91,7 +91,7 @@
         return permit_duty.PermitTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def boot_router(self):
-        self.pool.ears[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
+        self.pool.handlers[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
         self.pool.waiting = [row for row in self.pool.waiting if row[2] != "timer"]
         environment = Environment(self.pool, ROUTER)
         leaders = leaders_module.Leaders(environment, lambda: KEEPERS)
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -76,7 +76,7 @@
 
     def boot(self, name):
         super().boot(name)
-        duty = self.duty_class(self.seats[name], Lease(), journal_module.Journal(), self.duty_bounds)
+        duty = self.duty_class(self.members[name], Lease(), journal_module.Journal(), self.duty_bounds)
         duty.group = self
         self.leader_tasks[name] = duty
 
@@ -84,7 +84,7 @@
         """Let time pass, step by step: all that runs works, and all that is not held up is delivered."""
         for _ in range(round(span / STEP)):
             self.pool.time += STEP
-            for name in sorted(set(self.seats) - self.frozen):
+            for name in sorted(set(self.members) - self.frozen):
                 self.tick(name)
             self.deliver_all()
 
@@ -105,7 +105,7 @@
 
     def ask_all(self):
         """A router asks every member that runs."""
-        for name in sorted(set(self.seats) - self.down - self.frozen):
+        for name in sorted(set(self.members) - self.down - self.frozen):
             self.ask(name)
 
     def ask(self, name):
@@ -115,7 +115,7 @@
 
     def freeze_inside_ask(self, name, span):
         """A member is stopped just after it has found that it leads for sure; the others go on."""
-        seat = self.seats[name]
+        seat = self.members[name]
         if self.down | self.frozen or not seat.is_leader:
             return
         self.ask(name)
@@ -138,7 +138,7 @@
 
     def trouble(self):
         """One drawn event."""
-        name = self.draw.choice([*sorted(self.seats), *[n for n in self.seats if self.seats[n].is_leader] * 3])
+        name = self.draw.choice([*sorted(self.members), *[n for n in self.members if self.members[n].is_leader] * 3])
         event = self.draw.choice(EVENTS)
         if event == "cut":
             self.cut = {name}
@@ -153,20 +153,20 @@
         elif event == "boot" and self.down:
             self.boot(min(self.down))
         elif event == "hand_over" and name not in self.down | self.frozen:
-            self.seats[name].transfer_leadership()
+            self.members[name].transfer_leadership()
         elif event == "write":
             for _ in range(6):
                 self.propose(name)
 
     def walk(self, steps):
         """Go on by so many steps, checking after each."""
-        self.rest()
+        self.converge()
         for _ in range(steps):
             self.settle(self.draw.choice((0.05, 0.2, 0.7, 1.5, 3.0)))
             if self.draw.random() < 0.6:
                 self.trouble()
             if self.draw.random() < 0.2:
-                for name in sorted(self.seats):
+                for name in sorted(self.members):
                     self.freeze_inside_ask(name, self.draw.choice((0.5, 2.0, 4.0)))
             if self.draw.random() < 0.5:
                 self.ask_all()
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -52,13 +52,13 @@
     pool = all_orders.Pool()
     one = retry_budget.RetryBudget(Environment(pool, "a"), lambda: ["b"])
     assert not one.take_or_borrow()
-    pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
+    pool.handlers["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
     pool.time += constants.LOAN_TTL_S + 0.01
     assert not one.take_or_borrow()  # lapsed; asks anew under the next mark
-    pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 5.0})
-    pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": -5.0})
+    pool.handlers["a"][("lend", None)]("b", {"mark": 1, "amount": 5.0})
+    pool.handlers["a"][("lend", None)]("b", {"mark": 2, "amount": -5.0})
     assert not one.take(1)
-    pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": 1.0})
+    pool.handlers["a"][("lend", None)]("b", {"mark": 2, "amount": 1.0})
     assert one.take(1) and not one.take(1)
 
 
--- a/tests/test_former_leases.py
+++ b/tests/test_former_leases.py
@@ -1,4 +1,4 @@
-"""How long a new leader waits for its predecessors' leases: shorter by the votes' hold, never too short."""
+"""How long a new leader waits for leases of earlier leaders: less the time that votes are withheld, never too short."""
 
 import itertools
 
@@ -9,11 +9,11 @@
 import tests.group_model as group_model
 
 
-def settle(group, seconds, without=()):
-    """All members but these run and are heard, in order; a lease is asked for on every step."""
+def run_with_leases(group, seconds, without=()):
+    """Runs all members but these and delivers in order, with a lease request on every step."""
     for _ in range(round(seconds / 0.02)):
         group.pool.time += 0.02
-        for name in sorted(group.seats):
+        for name in sorted(group.members):
             if name not in without:
                 group.tick(name)
                 group.ask_lease(name)
@@ -24,69 +24,71 @@
 
 
 def leader_of(group):
-    return next(n for n, seat in group.seats.items() if n not in group.down and seat.is_leader and seat.ready)
+    return next(n for n, member in group.members.items() if n not in group.down and member.is_leader and member.ready)
 
 
-def transfer_leadership(group):
-    """Leases are asked of a leader, which then names its successor; they run on."""
+def transfer_from_leader(group):
+    """Requests leases from a leader, which then transfers leadership while they are still valid."""
     former = leader_of(group)
-    settle(group, 0.3)
-    group.seats[former].transfer_leadership()
-    settle(group, 0.3)
-    return group.seats[former]
+    run_with_leases(group, 0.3)
+    group.members[former].transfer_leadership()
+    run_with_leases(group, 0.3)
+    return group.members[former]
 
 
-def one_loss(size, lost):
-    """A group whose leader is lost while leases are asked of it; its next leader."""
+def lose_leader(size, lost):
+    """Loses a leader while leases are requested from it; returns the next leader and the last lease's time."""
     group = group_model.Group(size, 1)
-    group.rest()
+    group.converge()
     former = leader_of(group)
-    settle(group, 0.3 + 0.02 * lost)
-    granted = max(asked for _term, asked in group.leases)
+    run_with_leases(group, 0.3 + 0.02 * lost)
+    granted = max(requested_at for _term, requested_at in group.leases)
     group.crash(former)
-    settle(group, 3.0, (former,))
-    return group.seats[leader_of(group)], granted
+    run_with_leases(group, 3.0, (former,))
+    return group.members[leader_of(group)], granted
 
 
 @pytest.mark.parametrize("size, lost", list(itertools.product([3, 5], range(6))))
-def test_after_a_leader_is_lost_its_leases_have_run_out_when_the_next_one_activates(size, lost):
-    leader, granted = one_loss(size, lost)
+def test_leases_of_a_lost_leader_have_expired_when_the_next_leader_activates(size, lost):
+    leader, granted = lose_leader(size, lost)
     end = leader.former_leases_end(constants.LONG_LEASE_S)
     assert granted + constants.LONG_LEASE_S <= end
-    assert end - leader.elected_at < constants.LONG_LEASE_S - 0.5  # the votes' hold is not waited for twice
+    assert (
+        end - leader.elected_at < constants.LONG_LEASE_S - 0.5
+    )  # the time that votes were withheld is not waited for again
 
 
-def test_after_a_hand_over_the_whole_lease_is_waited_for():
+def test_the_full_lease_time_is_waited_for_after_a_leadership_transfer():
     group = group_model.Group(3, 1)
-    group.rest()
-    former = transfer_leadership(group)
-    successor = group.seats[leader_of(group)]
+    group.converge()
+    former = transfer_from_leader(group)
+    successor = group.members[leader_of(group)]
     assert successor.member_id != former.member_id and successor.by_transfer
     assert successor.former_leases_end(constants.LONG_LEASE_S) >= successor.elected_at + constants.LONG_LEASE_S
 
 
-def wait_without(held):
-    """A wait for former leases from which this many seconds are taken off, however the leader was elected."""
-    return lambda self, lease_s: self.elected_at + lease_s - held + constants.LEASE_CLOCK_MARGIN_S
+def wait_shortened_by(subtracted_s):
+    """A former_leases_end that subtracts this many seconds however the leader was elected."""
+    return lambda self, lease_s: self.elected_at + lease_s - subtracted_s + constants.LEASE_CLOCK_MARGIN_S
 
 
-def test_the_check_finds_a_wait_that_is_as_short_after_a_hand_over(monkeypatch):
-    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(constants.VOTE_WITHHOLD_S))
+def test_the_check_detects_a_shortened_wait_after_a_leadership_transfer(monkeypatch):
+    monkeypatch.setattr(election.Election, "former_leases_end", wait_shortened_by(constants.VOTE_WITHHOLD_S))
     group = group_model.Group(3, 1)
-    group.rest()
+    group.converge()
     with pytest.raises(AssertionError, match="^a lease of term"):
-        transfer_leadership(group)
+        transfer_from_leader(group)
 
 
 @pytest.mark.parametrize("size", [3, 5])
-def test_the_check_finds_a_wait_that_takes_off_more_than_the_votes_hold(monkeypatch, size):
-    monkeypatch.setattr(election.Election, "former_leases_end", wait_without(2 * constants.VOTE_WITHHOLD_S))
+def test_the_check_detects_a_wait_shortened_by_more_than_votes_are_withheld(monkeypatch, size):
+    monkeypatch.setattr(election.Election, "former_leases_end", wait_shortened_by(2 * constants.VOTE_WITHHOLD_S))
     with pytest.raises(AssertionError, match="^a lease of term"):
-        one_loss(size, 0)
+        lose_leader(size, 0)
 
 
 def run_cut_off(group, former, cut_off, seconds):
-    """The leader runs and is asked for leases; these members hear nothing."""
+    """Runs the leader with lease requests while these members receive nothing."""
     addresses = {group.address(name) for name in cut_off}
     for _ in range(round(seconds / 0.02)):
         group.pool.time += 0.02
@@ -102,22 +104,22 @@
 
 
 def elect_with_the_former_leader():
-    """Of five, the former leader and two that it did not reach elect; the two that echoed it last are lost."""
+    """Of five members, the two that echoed the leader last crash; the leader and the other two elect a leader."""
     group = group_model.Group(5, 2)
-    group.rest()
+    group.converge()
     former = leader_of(group)
-    others = [name for name in sorted(group.seats) if name != former]
+    others = [name for name in sorted(group.members) if name != former]
     cut_off, lost = others[:2], others[2:]
-    settle(group, 0.5)
+    run_with_leases(group, 0.5)
     run_cut_off(group, former, cut_off, 0.8)
     for name in lost:
         group.crash(name)
     run_cut_off(group, former, cut_off, 0.8)
-    assert not group.seats[former].is_leader
-    settle(group, 2.0, tuple(lost))
+    assert not group.members[former].is_leader
+    run_with_leases(group, 2.0, tuple(lost))
     return group
 
 
-def test_leases_of_a_former_leader_that_votes_have_run_out_as_well():
+def test_leases_of_a_former_leader_that_votes_have_expired_too():
     group = elect_with_the_former_leader()
     assert group.leases and leader_of(group)
--- a/tests/test_group_model.py
+++ b/tests/test_group_model.py
@@ -1,4 +1,4 @@
-"""Random walks over a whole group: messages in any order, crashes, wiped disks, newcomers, lost messages."""
+"""Random walks over a consensus group: reordered and lost messages, crashes, wiped disks, new members."""
 
 import itertools
 
@@ -12,14 +12,14 @@
 import mothshed.control_plane.replication as replication
 import tests.group_model as group_model
 
-WALK = hypothesis.settings(
+WALK_SETTINGS = hypothesis.settings(
     max_examples=40,
     stateful_step_count=60,
     derandomize=True,
     deadline=None,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-SMALL = {
+SMALL_LIMITS = {
     "SNAPSHOT_INTERVAL_ENTRIES": 4,
     "MAX_RETAINED_LOG_ENTRIES": 1,
     "SNAPSHOT_CHUNK_CHARS": 64,
@@ -29,74 +29,74 @@
 
 
 @pytest.fixture(autouse=True)
-def small_bounds(monkeypatch):
-    """Snapshots, pieces and windows come after a few entries."""
-    for name, value in SMALL.items():
+def small_limits(monkeypatch):
+    """Lowers the limits so that snapshots, chunks and full windows occur after a few entries."""
+    for name, value in SMALL_LIMITS.items():
         monkeypatch.setattr(constants, name, value)
 
 
-class Walk(stateful.RuleBasedStateMachine):
+class GroupRandomWalk(stateful.RuleBasedStateMachine):
     size, losses = 3, 1
 
     def __init__(self):
         super().__init__()
         self.group = group_model.Group(self.size, self.losses)
-        self.newcomers = 0
-        self.group.rest()
+        self.added = 0
+        self.group.converge()
 
     def name(self, pick):
-        names = sorted(self.group.seats)
+        names = sorted(self.group.members)
         return names[pick % len(names)]
 
-    @stateful.rule(span=strategies.floats(0.01, 0.7), pick=strategies.integers(0, 9))
-    def time_passes(self, span, pick):
-        self.group.pool.time += span
+    @stateful.rule(seconds=strategies.floats(0.01, 0.7), pick=strategies.integers(0, 9))
+    def advance_time(self, seconds, pick):
+        self.group.pool.time += seconds
         self.group.tick(self.name(pick))
 
     @stateful.rule(
-        span=strategies.sampled_from([0.02, 0.12, 0.5]),
+        seconds=strategies.sampled_from([0.02, 0.12, 0.5]),
         steps=strategies.integers(1, 8),
         count=strategies.integers(1, 40),
     )
-    def all_runs_in_order(self, span, steps, count):
+    def run_all_in_order(self, seconds, steps, count):
         for _ in range(steps):
-            self.group.pool.time += span
-            for name in sorted(self.group.seats):
+            self.group.pool.time += seconds
+            for name in sorted(self.group.members):
                 self.group.tick(name)
             for _ in range(count):
                 self.group.deliver(0)
                 self.group.check()
 
-    @stateful.rule(at=strategies.integers(0, 50))
-    def one_message_comes(self, at):
-        self.group.deliver(at)
+    @stateful.rule(index=strategies.integers(0, 50))
+    def deliver_one_message(self, index):
+        self.group.deliver(index)
 
-    @stateful.rule(at=strategies.integers(0, 50))
-    def one_message_is_lost(self, at):
+    @stateful.rule(index=strategies.integers(0, 50))
+    def lose_one_message(self, index):
         if self.group.pool.waiting:
-            self.group.pool.waiting.pop(at % len(self.group.pool.waiting))
+            self.group.pool.waiting.pop(index % len(self.group.pool.waiting))
 
     @stateful.rule(pick=strategies.integers(0, 9), count=strategies.integers(1, 6))
-    def writes(self, pick, count):
+    def propose_writes(self, pick, count):
         for _ in range(count):
-            for name in sorted(self.group.seats):
+            for name in sorted(self.group.members):
                 self.group.propose(name)
             self.group.pool.time += 0.011
 
     @stateful.rule()
-    def leases_are_asked_for(self):
-        for name in sorted(self.group.seats):
+    def request_leases(self):
+        for name in sorted(self.group.members):
             self.group.ask_lease(name)
 
     @stateful.rule(pick=strategies.integers(0, 9))
-    def a_leader_names_a_successor(self, pick):
-        self.group.seats[self.name(pick)].transfer_leadership()
+    def transfer_leadership(self, pick):
+        self.group.members[self.name(pick)].transfer_leadership()
 
-    @stateful.rule(pick=strategies.integers(0, 9), back=strategies.booleans())
-    def crash(self, pick, back):
+    @stateful.rule(pick=strategies.integers(0, 9), restart_now=strategies.booleans())
+    def crash(self, pick, restart_now):
         name = self.name(pick)
         self.group.crash(name)
-        if back:
+        if restart_now:
             self.group.boot(name)
 
     @stateful.rule(pick=strategies.integers(0, 9))
@@ -106,59 +106,61 @@
             self.group.boot(name)
 
     @stateful.rule(pick=strategies.integers(0, 9))
-    def disk_lost(self, pick):
-        if self.group.whole():
+    def lose_disk(self, pick):
+        if self.group.has_final_membership():
             name = self.name(pick)
             self.group.wipe(name)
             self.group.boot(name)
 
     @stateful.rule()
-    def newcomer(self):
-        if self.newcomers < 1 and self.group.whole():
-            self.newcomers += 1
+    def add_member(self):
+        if self.added < 1 and self.group.has_final_membership():
+            self.added += 1
             self.group.add("N")
 
     @stateful.invariant()
-    def one_leader_a_term(self):
+    def at_most_one_leader_per_term(self):
         self.group.check()
 
     def teardown(self):
         self.group.finish()
 
 
-class WalkOfFive(Walk):
+class RandomWalkOfFive(GroupRandomWalk):
     size, losses = 5, 2
 
 
-class WalkOfFour(Walk):
+class RandomWalkOfFour(GroupRandomWalk):
     size, losses = 4, 1
 
 
-@pytest.mark.parametrize("walk", [Walk, WalkOfFour, WalkOfFive])
-def test_no_walk_loses_or_doubles_what_was_acknowledged(walk):
-    stateful.run_state_machine_as_test(walk, settings=WALK)
+@pytest.mark.parametrize("walk", [GroupRandomWalk, RandomWalkOfFour, RandomWalkOfFive])
+def test_random_walks_neither_lose_nor_duplicate_acknowledged_writes(walk):
+    stateful.run_state_machine_as_test(walk, settings=WALK_SETTINGS)
 
 
-def count_alone(self):
-    """Commits what the leader alone has written."""
+def commit_alone(self):
+    """Commits entries that only the leader has written."""
     self.commit_index = self.log.last
     self.apply_all()
 
 
-def broken_by(monkeypatch, place, name, value, reason):
-    """The walks break, for this reason, once this protection is taken out."""
-    monkeypatch.setattr(place, name, value)
-    many = hypothesis.settings(WALK, max_examples=400, phases=[hypothesis.Phase.generate])
-    with pytest.raises(AssertionError, match=reason):
-        stateful.run_state_machine_as_test(Walk, settings=many)
+def assert_walks_fail(monkeypatch, target, name, replacement, expected_error):
+    """Replaces a protection and expects the random walks to fail with this error."""
+    monkeypatch.setattr(target, name, replacement)
+    settings = hypothesis.settings(WALK_SETTINGS, max_examples=400, phases=[hypothesis.Phase.generate])
+    with pytest.raises(AssertionError, match=expected_error):
+        stateful.run_state_machine_as_test(GroupRandomWalk, settings=settings)
 
 
-def test_the_walks_find_a_commit_without_a_majority(monkeypatch):
-    broken_by(monkeypatch, replication.Replication, "advance_commit_index", count_alone, "^index .* is .* and ")
+def test_random_walks_detect_commits_without_a_majority(monkeypatch):
+    assert_walks_fail(
+        monkeypatch, replication.Replication, "advance_commit_index", commit_alone, "^index .* is .* and "
+    )
 
 
-def test_the_walks_find_votes_without_a_majority(monkeypatch):
-    broken_by(
+def test_random_walks_detect_elections_without_a_majority(monkeypatch):
+    assert_walks_fail(
         monkeypatch, membership.Membership, "has_quorum", lambda self, ids: bool(self.voters), "^two leaders of term"
     )
 
@@ -172,7 +174,7 @@
 @pytest.mark.parametrize(
     "old, new", [("ABX", "ABY"), ("ABC", "ABCD"), ("ABCD", "ABC"), ("ABCXZ", "ABCYW"), ("ABC", "DEF")]
 )
-def test_no_quorum_of_a_joint_membership_misses_one_of_the_old_or_the_new(old, new):
+def test_quorums_of_a_joint_membership_intersect_those_of_both_configurations(old, new):
     everyone = sorted(set(old + new))
     before, after = membership.Membership(dict.fromkeys(old)), membership.Membership(dict.fromkeys(new))
     joint = before.enter_joint(after.voters)
@@ -181,6 +183,6 @@
         assert all(one & other for one in quorums(joint, everyone) for other in quorums(settled, everyone))
 
 
-def test_one_entry_for_a_replacement_would_let_two_majorities_miss_each_other():
+def test_replacing_a_voter_in_one_entry_would_allow_disjoint_majorities():
     before, after = membership.Membership(dict.fromkeys("ABX")), membership.Membership(dict.fromkeys("ABY"))
     assert any(not one & other for one in quorums(before, "ABXY") for other in quorums(after, "ABXY"))
--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -128,7 +128,7 @@
     pool, duty, (lease,) = deployment()
     stage(duty, 3)
     pool.waiting.clear()  # the change goes to the process before, which dies
-    pool.ears["r:0"] = {}
+    pool.handlers["r:0"] = {}
     successor = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:0", "next life"), lambda: ["a:1"])
     successor.request_lease()
     pool.deliver(0)
@@ -216,7 +216,7 @@
         elif act.startswith("ask"):
             leases[int(act[-1])].request_lease()
         elif act == "restart":
-            pool.ears["r:1"] = {}
+            pool.handlers["r:1"] = {}
             pool.time += 0.001
             leases[1] = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1", pool.time), lambda: ["a:1"])
         elif act == "leader":
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -9,7 +9,7 @@
 
 def start(pool, life):
     """A router's lease; what an earlier life at this address would have received, this one does."""
-    pool.ears[ADDRESS] = {}
+    pool.handlers[ADDRESS] = {}
     return lease_module.Lease(all_orders.ManualEnvironment(pool, ADDRESS, life), lambda: [KEEPER])
 
 
@@ -41,9 +41,9 @@
         ask(pool, after)
     pool.time += 1.0
     for body in late:
-        pool.ears[ADDRESS][("grant", 0)](KEEPER, body)
+        pool.handlers[ADDRESS][("grant", 0)](KEEPER, body)
     assert after.sequence() is None
-    pool.ears[ADDRESS][("grant", 0)](KEEPER, grant(ask(pool, after)))
+    pool.handlers[ADDRESS][("grant", 0)](KEEPER, grant(ask(pool, after)))
     assert after.sequence() == 3
 
 
@@ -54,7 +54,7 @@
         lease_module.log_buffer, "report", lambda kind, **fields: reported.append((kind, fields["missing_s"]))
     )
     lease = start(pool, "one life")
-    receive = pool.ears[ADDRESS][("grant", 0)]
+    receive = pool.handlers[ADDRESS][("grant", 0)]
     pool.time += 0.5
     receive(KEEPER, grant(ask(pool, lease)))
     pool.time += constants.LONG_LEASE_S + 1.0
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving replicas and late knowledge: hints, lists that lag, sleepers; and a birth that is disturbed."""
+"""Leaving replicas: hints, lagging lists, and routers that were suspended; and a disturbed group bootstrap."""
 
 import pytest
 
@@ -10,60 +10,60 @@
 import tools.simulator.end_of_day as end_of_day
 import tools.simulator.fleet as sim
 
-NAMES = [f"r{n:03}" for n in range(100)]  # more than one record's hints hold
-SAID = {"engine": "e", "role": "prefill", "run": 0, "wait": 0, "slots": 4, "keys": [], "standing": 0}
+NAMES = [f"r{n:03}" for n in range(100)]  # more than fit into the hints of one record
+CONDITION = {"engine": "e", "role": "prefill", "run": 0, "wait": 0, "slots": 4, "keys": [], "standing": 0}
 
 
-def reader(pool, address):
-    found = replicas.Replicas(all_orders.ManualEnvironment(pool, address), "", None)
-    talk = gossip.Gossip(found.environment, address, "route", "z", [], found)
-    return found, talk
+def make_router(pool, address):
+    known_replicas = replicas.Replicas(all_orders.ManualEnvironment(pool, address), "", None)
+    near_gossip = gossip.Gossip(known_replicas.environment, address, "route", "z", [], known_replicas)
+    return known_replicas, near_gossip
 
 
-def read(found, leaving=()):
-    found.update_list(
+def observe(known_replicas, leaving=()):
+    known_replicas.update_list(
         {n: {"url": "", "cell": "z", "service": "s", "labels": {}, "leaving": n in leaving} for n in NAMES}
     )
-    found.list_attempted_at = found.environment.now()
+    known_replicas.list_attempted_at = known_replicas.environment.now()
     for n in NAMES:
-        found.update_condition(n, found.environment.now(), 0, SAID)
+        known_replicas.update_condition(n, known_replicas.environment.now(), 0, CONDITION)
 
 
-def test_a_leaving_hint_passes_a_full_record_and_outlasts_older_readings():
+def test_a_leaving_hint_takes_precedence_in_a_full_record_and_over_older_lists():
     pool = all_orders.Pool()
-    (near, talk), (far, other) = reader(pool, "a"), reader(pool, "b")
-    read(near, {"r099"})
-    read(far)
+    (near, near_gossip), (far, far_gossip) = make_router(pool, "a"), make_router(pool, "b")
+    observe(near, {"r099"})
+    observe(far)
     assert "r099" in far.usable({})
-    rows = talk.hints()
+    rows = near_gossip.hints()
     assert len(rows) == transport_constants.MAX_RECORD_HINTS
     for row in rows:
-        other.take(row)
+        far_gossip.take(row)
     assert "r099" not in far.usable({})
     for _ in range(4):
         pool.time += 1
-        read(far)  # its own list lags: still shown ready
+        observe(far)  # its own list lags and still shows the replica as ready
         assert "r099" not in far.usable({}) and len(far.usable({})) == len(NAMES) - 1
-    read(near)  # ready again, and nobody says otherwise any more
+    observe(near)  # ready again, and no hint contradicts it
     pool.time += constants.LEAVING_MARK_TTL_S
-    read(far)
-    assert "r099" in far.usable({}) and not any("leaving" in row for row in talk.hints())
+    observe(far)
+    assert "r099" in far.usable({}) and not any("leaving" in row for row in near_gossip.hints())
 
 
-def test_a_sleeper_places_nothing_before_it_has_asked_the_list_again():
+def test_a_suspended_router_places_nothing_until_it_has_read_the_list_again():
     pool = all_orders.Pool()
-    found = reader(pool, "a")[0]
-    read(found)
+    known_replicas = make_router(pool, "a")[0]
+    observe(known_replicas)
     pool.time += constants.LIST_ATTEMPT_MAX_AGE_S + 0.1
     for n in NAMES:
-        found.update_condition(n, pool.time, 0, SAID)
-    assert found.usable({}) == {}
-    found.list_attempted_at = pool.time
-    assert len(found.usable({})) == len(NAMES)
+        known_replicas.update_condition(n, pool.time, 0, CONDITION)
+    assert known_replicas.usable({}) == {}
+    known_replicas.list_attempted_at = pool.time
+    assert len(known_replicas.usable({})) == len(NAMES)
 
 
 @pytest.mark.parametrize("at", [0.05, 0.3, 0.52, 0.55, 0.6, 0.8, 1.0, 1.3])
-def test_a_first_member_wiped_amid_birth_leaves_a_whole_group(at):
+def test_a_group_is_complete_after_an_initial_member_is_wiped_during_bootstrap(at):
     f = sim.SimFleet(f"birth-{at}", routers=1, replicas=2)
     f.run(at)
     f.kill("keep-1")
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -15,7 +15,7 @@
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
-    group.seats["A"].renew()
+    group.members["A"].renew()
     duty = group.leader_tasks["A"]
 
     def order_role(environment, place, role, standing, holder, sequence, ready):
@@ -113,7 +113,7 @@
         call()
 
     def sleep(self, span):
-        order_group.wait_a_while(self.group, span)
+        order_group.advance_time(self.group, span)
         self.changes()
 
 
@@ -122,7 +122,7 @@
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
-    group.seats["A"].renew()
+    group.members["A"].renew()
     duty = group.leader_tasks["A"]
     duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
--- a/tests/test_order_turns.py
+++ b/tests/test_order_turns.py
@@ -59,7 +59,7 @@
                 sends.remove(send)
                 send.write()
         elif act == "wait":
-            order_group.wait_a_while(group, (0.1, 1.0, tenure + constants.ORDER_DELIVERY_MARGIN_S + 0.01, 20.0)[turn])
+            order_group.advance_time(group, (0.1, 1.0, tenure + constants.ORDER_DELIVERY_MARGIN_S + 0.01, 20.0)[turn])
     for (at, member_id, fence), (later, other, higher) in itertools.pairwise(group.arrived):
         assert higher > fence or (higher == fence and member_id == other)
         assert member_id == other or later - at >= tenure
@@ -71,5 +71,5 @@
     group.lead("A")
     for span, may in ((gap - 0.01, False), (0.02, True)):
         group.pool.time += span
-        group.seats["A"].renew()
+        group.members["A"].renew()
         assert bool(group.leader_tasks["A"].may_send(1)) == may
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -76,7 +76,7 @@
         assert {s.log.term for s in seats.values()} <= ({1} if len(names) == 2 else {1, 2})
 
     depth = 10 if len(names) == 2 else 6
-    assert all_orders.explore(make, one_owner_a_term, depth, lines=True, end=end) > 50
+    assert all_orders.explore(make, one_owner_a_term, depth, per_link_order=True, end=end) > 50
 
 
 def test_a_wiped_member_never_votes_a_stale_one_in():
@@ -127,7 +127,7 @@
 def test_of_racing_writes_exactly_one_wins_in_any_order():
     rows = [{"op": "stage", "base": 0, "doc": {"n": n}, "by": "", "id": f"w{n}"} for n in range(3)]
     rows.append(dict(rows[0]))  # the same write sent again
-    for order in all_orders.orders(rows):
+    for order in all_orders.permutations(rows):
         machine = config_machine.ConfigMachine()
         said = [(r["id"], machine.apply(n + 1, r)) for n, r in enumerate(order)]
         winner = order[0]["id"]
@@ -159,7 +159,7 @@
     """However records, losses and time fall: once a document is active, no older lease outlasts SHORT_LEASE_S."""
     acts = ["stage", "deliver", "deliver", "lose", "wait-long", "ask", "wait-short", "deliver"]
     seen = set()
-    for order in sorted(set(all_orders.orders(acts))):
+    for order in sorted(set(all_orders.permutations(acts))):
         pool = all_orders.Pool()
         duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
         lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
@@ -201,7 +201,7 @@
     machine = service_part.ServiceMachine()
     sent = [(machine.apply(n, {"op": "take", "who": who})["standing"], who) for n, who in enumerate("ABA")]
     assert [s for s, w in sent] == [1, 2, 3]
-    for order in all_orders.orders([(s, w, role) for s, w in sent for role in ("prefill", "decode")]):
+    for order in all_orders.permutations([(s, w, role) for s, w in sent for role in ("prefill", "decode")]):
         memory = memory_of()
         best = 0
         for standing, who, role in order:
@@ -218,7 +218,7 @@
 
 
 def test_free_pull_lapse_and_a_second_export_in_any_order():
-    for order in all_orders.orders(["pull", "free", "lapse", "again", "foreign"]):
+    for order in all_orders.permutations(["pull", "free", "lapse", "again", "foreign"]):
         memory = memory_of()
         blocks = memory.export("q", "first prompt")
         digest, alive = replica_memory.digest_of("first prompt"), True
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -197,16 +197,16 @@
 def test_a_member_stops_at_a_command_of_a_later_release():
     """A release that was put back must not lead, vote or serve with a state that lacks what the others applied."""
     group = group_model.Group(3, 1)
-    group.rest()
-    leader = next(seat for seat in group.seats.values() if seat.is_leader)
+    group.converge()
+    leader = next(member for member in group.members.values() if member.is_leader)
     last = leader.log.last
     leader.propose({"op": "fold"})
-    for _ in range(group_model.REST_STEPS):
+    for _ in range(group_model.MAX_CONVERGE_STEPS):
         group.pool.time += group_model.STEP
-        for name in group.seats:
+        for name in group.members:
             group.tick(name)
         while group.pool.waiting:
             group.pool.deliver(0)
-    stopped = [seat for seat in group.seats.values() if seat.chart.state == "stopped"]
-    assert len(stopped) >= 2 and not any(seat.is_leader for seat in group.seats.values())
-    assert all(seat.last_applied == last or seat not in stopped for seat in group.seats.values())
+    stopped = [member for member in group.members.values() if member.chart.state == "stopped"]
+    assert len(stopped) >= 2 and not any(member.is_leader for member in group.members.values())
+    assert all(member.last_applied == last or member not in stopped for member in group.members.values())
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""Repair: what a missing member or router should have had is kept for it, within bounds."""
+"""Catching up: entries, snapshots and documents that a missing member or router receives after its return."""
 
 import mothshed.constants as constants
 import tools.simulate as simulate
@@ -16,20 +16,20 @@
     return next(n for n in f.names("keep") if n != f.leader())
 
 
-def test_a_member_that_missed_a_little_gets_the_entries():
+def test_a_member_that_missed_few_entries_receives_them():
     f = sim.SimFleet("few", routers=1, replicas=2)
     f.ready()
     name = follower(f)
     f.kill(name)
-    write_many(f, 5, 1.0)  # apart: an operator that asks the killed keeper first must not build on a base that is gone
+    write_many(f, 5, 1.0)  # spaced out: an operator that first asks the killed keeper must not use an outdated base
     f.start(name)
     f.run(3)
-    late, leader = f.parts[name].members[0], f.parts[f.leader()].members[0]
-    assert late.log.snapshot is None and late.log.last == leader.log.last
-    assert late.machine.latest == leader.machine.latest == len(f.writes) == 6
+    returned, leader = f.parts[name].members[0], f.parts[f.leader()].members[0]
+    assert returned.log.snapshot is None and returned.log.last == leader.log.last
+    assert returned.machine.latest == leader.machine.latest == len(f.writes) == 6
 
 
-def test_past_the_bound_the_snapshot_is_handed_over(monkeypatch):
+def test_a_member_that_missed_many_entries_receives_a_snapshot(monkeypatch):
     monkeypatch.setattr(constants, "SNAPSHOT_INTERVAL_ENTRIES", 8)
     monkeypatch.setattr(constants, "MAX_RETAINED_LOG_ENTRIES", 2)
     f = sim.SimFleet("many", routers=1, replicas=2)
@@ -39,13 +39,13 @@
     behind = f.parts[name].members[0].log.last
     write_many(f, 20, 0.3)
     leader = f.parts[f.leader()].members[0].log
-    assert leader.base > behind  # the entries it missed are kept no more
+    assert leader.base > behind  # the log no longer holds the missed entries
     f.start(name)
     f.run(3)
-    late = f.parts[name].members[0]
+    returned = f.parts[name].members[0]
     latest = f.parts[f.leader()].members[0].machine.latest
-    assert late.log.snapshot["index"] > behind and late.machine.latest == latest == len(f.writes) > 8
-    for other in f.names("keep"):  # and what it was handed lasts
+    assert returned.log.snapshot["index"] > behind and returned.machine.latest == latest == len(f.writes) > 8
+    for other in f.names("keep"):  # the installed snapshot survives a restart
         f.kill(other)
     for other in f.names("keep"):
         f.start(other)
@@ -54,7 +54,7 @@
     assert f.parts[name].members[0].machine.latest == latest
 
 
-def test_a_router_that_missed_documents_gets_the_ones_that_count():
+def test_a_router_that_missed_documents_receives_the_current_ones():
     f = sim.SimFleet("router", routers=2, replicas=2)
     f.ready()
     f.net.split(["route-1"], f.names("keep"))
@@ -66,11 +66,11 @@
     assert list(f.parts["route-1"].lease.docs) == [7]
 
 
-def test_a_neighbour_frees_only_what_is_overdue():
+def test_a_neighbour_releases_only_overdue_handles():
     f = simulate.one("kill_router", 1)[1]
     freed = [r for r in f.ledger if r["kind"] == "free"]
     exports = {(r["send"], r["engine"]): r["at"] for r in f.ledger if r["kind"] == "export"}
-    late = [r for r in freed if r["at"] - exports[(r["send"], r["engine"])] > 2.0]
-    assert late and len(late) < 10  # the lost router's, nobody else's
-    guards = sum(f.parts[n].totals.counts["guard_freed"] for n in f.names("route"))
-    assert guards >= len(late) > 0
+    overdue = [r for r in freed if r["at"] - exports[(r["send"], r["engine"])] > 2.0]
+    assert overdue and len(overdue) < 10  # only those of the lost router
+    backup_releases = sum(f.parts[n].totals.counts["guard_freed"] for n in f.names("route"))
+    assert backup_releases >= len(overdue) > 0
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -1,4 +1,4 @@
-"""A service without a model beside one with a model: who gets roles, orders and notices, and who does not."""
+"""A service without a model beside one with a model: roles, orders and placement apply only to the latter."""
 
 import pytest
 
@@ -43,53 +43,55 @@
     }
 
 
-class Speech(platform_site.replica_speech.Speech):
-    """Takes every order and remembers it."""
+class RecordingProtocol(platform_site.replica_speech.Speech):
+    """Accepts and records every order."""
 
     def __init__(self):
         self.ordered = []
 
     def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
-        """An order that arrives if its last check allows it."""
+        """Records the order if its last check allows it."""
         if ready():
             self.ordered.append(role)
         return True
 
 
 @pytest.fixture
-def holder(monkeypatch):
-    """The holder of the part that has both services, with five replicas of each, past its turn gap."""
+def role_task(monkeypatch):
+    """The leader's task of the part with both services, five replicas each, after its first order delay."""
     monkeypatch.setattr(order_group.orders.parts, "part_of", lambda service: 1)
     group = order_group.Group(3.0)
     group.lead("A")
     group.pool.time += 3.3
-    group.seats["A"].renew()
-    duty, seat = group.leader_tasks["A"], group.seats["A"]
-    speech = Speech()
-    found = listed_replicas.ListedReplicas(seat.environment, "", journal.Journal(), None, lambda: [])
+    group.members["A"].renew()
+    task, member = group.leader_tasks["A"], group.members["A"]
+    replica_protocol = RecordingProtocol()
+    found = listed_replicas.ListedReplicas(member.environment, "", journal.Journal(), None, lambda: [])
     found.update_list({f"{s}{n}": row(s, "none") for s in ("models", "slips") for n in range(5)})
-    duty.replicas, duty.journal, duty.keeps_reported_roles, duty.announces_token = found, journal.Journal(), True, False
-    duty.order_role, duty.speech = speech.order_role, speech
-    duty.lease.pools = DOCUMENT["pools"]
-    duty.environment.spawn = lambda call: call()
-    return duty
+    task.replicas, task.journal, task.keeps_reported_roles, task.announces_token = found, journal.Journal(), True, False
+    task.order_role, task.speech = replica_protocol.order_role, replica_protocol
+    task.lease.pools = DOCUMENT["pools"]
+    task.environment.spawn = lambda call: call()
+    return task
 
 
-def test_no_split_is_planned_and_no_order_sent_for_a_service_without_a_model(holder):
-    holder.plan_roles(DOCUMENT)  # agrees on roles
-    assert sorted(holder.machine.roles) == [f"models{n}" for n in range(5)]
-    holder.plan_roles(DOCUMENT)  # sends what is missing
-    assert sorted(holder.speech.ordered) == ["decode"] * 3 + ["prefill"] * 2
+def test_no_split_is_planned_and_no_order_sent_for_a_service_without_a_model(role_task):
+    role_task.plan_roles(DOCUMENT)  # agrees on roles
+    assert sorted(role_task.machine.roles) == [f"models{n}" for n in range(5)]
+    role_task.plan_roles(DOCUMENT)  # sends what is missing
+    assert sorted(role_task.speech.ordered) == ["decode"] * 3 + ["prefill"] * 2
 
 
-def test_an_order_that_was_agreed_while_a_service_had_a_model_is_not_sent_once_it_has_none(holder):
+def test_an_order_that_was_agreed_while_a_service_had_a_model_is_not_sent_once_it_has_none(role_task):
     with_model = {**DOCUMENT["pools"]["slips"], "split": True}
-    holder.lease.pools = {**DOCUMENT["pools"], "slips": with_model}
-    holder.plan_roles({"pools": holder.lease.pools})
-    assert "slips0" in holder.machine.roles and holder.order_still_valid("slips0", holder.machine.roles["slips0"])
-    holder.lease.pools = DOCUMENT["pools"]
-    assert not holder.order_still_valid("slips0", holder.machine.roles["slips0"])
-    assert holder.order_still_valid("models0", holder.machine.roles["models0"])
+    role_task.lease.pools = {**DOCUMENT["pools"], "slips": with_model}
+    role_task.plan_roles({"pools": role_task.lease.pools})
+    assert "slips0" in role_task.machine.roles and role_task.order_still_valid(
+        "slips0", role_task.machine.roles["slips0"]
+    )
+    role_task.lease.pools = DOCUMENT["pools"]
+    assert not role_task.order_still_valid("slips0", role_task.machine.roles["slips0"])
+    assert role_task.order_still_valid("models0", role_task.machine.roles["models0"])
 
 
 @pytest.mark.parametrize("engine", [True, False])
@@ -107,7 +109,7 @@
 
 
 def slips(site, count=2, **route):
-    """Host and replicas of a service without a model, beside one with readers and writers."""
+    """Host and replicas of a service without a model, beside one with prefill and decode replicas."""
     site.service("pd")
     facts = {"events": 0, "body": b"slip"}
     rows = [platform_site.stand_in.Replica(site.platform, "slips", "none", **facts) for _ in range(count)]
@@ -125,9 +127,9 @@
 
 def test_a_whole_request_is_served_without_a_prefill(site):
     host, replicas = slips(site)
-    own, answer = site.ask(host, prompt=False)
+    request_id, answer = site.ask(host, prompt=False)
     assert answer.status == 200 and answer.body == b"slip"
-    assert len(site.platform.ran(own)) == 1
+    assert len(site.platform.ran(request_id)) == 1
     assert all(request.get("Leg") == "" for replica in replicas for request in replica.asked)
 
 
@@ -135,28 +137,28 @@
 def test_a_once_only_request_never_runs_twice_at_a_service_without_a_model(site, fault):
     host, replicas = slips(site)
     platform_site.let(replicas, fault)
-    own, answer = site.ask(host, prompt=False)
+    request_id, answer = site.ask(host, prompt=False)
     assert platform_site.asked(replicas) == 1 and answer.status >= 500 and answer.status != 503
 
 
-def test_a_once_only_request_that_was_turned_away_with_proof_goes_to_another_replica(site):
+def test_a_once_only_request_rejected_with_proof_goes_to_another_replica(site):
     host, replicas = slips(site)
     platform_site.let(replicas, {"bounce": 503})
-    own, answer = site.ask(host, prompt=False)
-    assert answer.status == 200 and len(site.platform.ran(own)) == 1
+    request_id, answer = site.ask(host, prompt=False)
+    assert answer.status == 200 and len(site.platform.ran(request_id)) == 1
 
 
-def test_a_reader_of_another_service_is_none_for_the_services_own_requests(site):
-    """A request whose only reader failed is read by its writer, whatever other pools have."""
+def test_a_prefill_replica_of_another_service_is_not_used(site):
+    """If its only prefill replica fails, a request is prefilled by its decode replica, whatever other pools have."""
     host, (reader, writer) = site.service("pd")
     reader.always = {"close": True}
-    own, answer = site.ask(host)
-    assert answer.status == 200 and len(site.platform.ran(own)) == 1
+    request_id, answer = site.ask(host)
+    assert answer.status == 200 and len(site.platform.ran(request_id)) == 1
     assert len(reader.asked) == 1 and writer.asked[-1].get("Cache-From") == ""
 
 
 def plain_service(count, cells=None):
-    """Placing over replicas that have no role, r1, r2 .., of one slot less than eight; and its document."""
+    """Placement over replicas r1, r2, ... without a role and with two slots each, and its document."""
     one, pool = test_delivery_placing.placed([f"r{n + 1}" for n in range(count)], cells)
     for row in one.replicas.rows.values():
         row["role"], row["slots"] = "none", 2
@@ -174,7 +176,7 @@
     assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
 
 
-def test_what_other_routers_have_at_a_service_without_a_model_counts_against_its_slots():
+def test_requests_of_other_routers_count_against_the_slots_of_a_service_without_a_model():
     one, document = plain_service(2)
     one.take_others(1, {"r1": test_delivery_placing.usage(2), "r2": test_delivery_placing.usage(1)})
     assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r2"
@@ -190,7 +192,7 @@
     assert one.pair(1, document, "plain", test_delivery_placing.ask(0, ())).writer.name == "r1"
 
 
-def test_a_prompt_to_a_service_without_a_model_is_read_by_nobody_ahead():
+def test_a_prompt_to_a_service_without_a_model_is_not_prefilled():
     one, document = plain_service(2)
     pair = one.pair(1, document, "plain", test_delivery_placing.ask())
     assert pair.reader is None and pair.unread == 0
