--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -11,7 +11,7 @@
 import mothshed.data_plane.handle_releases as handle_releases
 import mothshed.data_plane.load_reporter as load_reporter
 import mothshed.data_plane.permits as permits
-import mothshed.data_plane.placing as placing
+import mothshed.data_plane.placement as placement
 import mothshed.data_plane.retry_budget as retry_budget
 import mothshed.data_plane.route_front as route_front
 import mothshed.data_plane.router_front as router_front
@@ -29,20 +29,20 @@
 
 
 class Router:
-    def __init__(self, environment, settings, speech=None):
+    def __init__(self, environment, settings, replica_protocol=None):
         """speech: an adapter to another way of speaking; its requests are delivered by routes."""
-        self.environment, self.settings, self.speech = environment, settings, speech
-        self.cell = settings["cell"]
+        self.environment, self.settings, self.replica_protocol = environment, settings, replica_protocol
+        self.zone = settings["cell"]
         self.journal = journal_module.Journal(environment.now)
         self.totals = self.journal.view(journal_module.Totals())
         self.replicas = (
             listed_replicas.ListedReplicas(
-                environment, settings["list_url"], self.journal, speech, lambda: self.gossip.keepers()
+                environment, settings["list_url"], self.journal, replica_protocol, lambda: self.gossip.keepers()
             )
-            if speech
+            if replica_protocol
             else replicas_module.Replicas(environment, settings["list_url"], self.journal)
         )
-        self.gossip = gossip.Gossip(environment, settings["name"], "route", self.cell, settings["seeds"], self.replicas)
+        self.gossip = gossip.Gossip(environment, settings["name"], "route", self.zone, settings["seeds"], self.replicas)
         self.replicas.router_count = self.gossip.count_routers
         self.server = None
         self.lease = lease_module.Lease(environment, self.gossip.keepers, self.apply_limits)
@@ -51,19 +51,19 @@
             environment, self.gossip.near_routers, settings.get("slack", 0.0), self.gossip.count_routers
         )
         self.handle_releases = handle_releases.HandleReleases(
-            environment, self.journal, (speech or replica_adapter).release_handle
+            environment, self.journal, (replica_protocol or replica_adapter).release_handle
         )
-        self.placing = placing.Placing(environment, self.replicas, self.cell)
-        self.tables = routes.Tables()
-        self.leaders = self.replicas.leaders if speech else leaders.Leaders(environment, self.gossip.keepers)
+        self.placement = placement.Placement(environment, self.replicas, self.zone)
+        self.tables = routes.RouteTables()
+        self.leaders = self.replicas.leaders if replica_protocol else leaders.Leaders(environment, self.gossip.keepers)
         self.permits = permits.Permits(environment, self.leaders, self.journal)
-        if speech:
-            self.usage = load_reporter.LoadReporter(environment, self.replicas, self.placing)
+        if replica_protocol:
+            self.load_reporter = load_reporter.LoadReporter(environment, self.replicas, self.placement)
         self.backup_releases = backup_releases.BackupReleases(
             environment, self.gossip, self.handle_releases, self.journal
         )
-        self.flight = 0
-        self.held_waiting = 0  # held handles that wait for a decode place
+        self.in_flight = 0
+        self.handles_waiting = 0  # held handles that wait for a decode place
         self.stopping = self.leaving = False
         self.lock = threading.Lock()
 
@@ -73,53 +73,53 @@
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     @contextlib.contextmanager
-    def held_wait(self):
+    def waiting_for_decode(self):
         """While a held handle waits for a decode place, no new prompt is admitted here."""
         with self.lock:
-            self.held_waiting += 1
+            self.handles_waiting += 1
         try:
             yield
         finally:
             with self.lock:
-                self.held_waiting -= 1
+                self.handles_waiting -= 1
 
-    def enter(self):
+    def begin_request(self):
         with self.lock:
             if self.stopping:
                 return False
-            self.flight += 1
+            self.in_flight += 1
             return True
 
-    def leave(self):
+    def end_request(self):
         with self.lock:
-            self.flight -= 1
+            self.in_flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
         """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
-        until = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
-        while self.lease.sequence() is None and self.environment.now() < until and not caller.has_left():
+        deadline = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
+        while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         if caller.has_left():
             raise verdict.CallerDisconnected()
         return self.lease.current()
 
-    def drain(self, most):
+    def drain(self, timeout_s):
         """Lingers while new requests still come, then takes nothing new; True once nothing is left."""
         self.leaving = True
         self.environment.sleep(self.settings.get("linger_s", 0))
         with self.lock:
             self.stopping = True
-        until = self.environment.now() + most
-        while self.environment.now() < until:
-            if not self.busy():
+        deadline = self.environment.now() + timeout_s
+        while self.environment.now() < deadline:
+            if not self.is_busy():
                 return True
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
         return False
 
-    def busy(self):
+    def is_busy(self):
         """Whether a request or its answer is under way, or a free is left to be sent."""
         return (
-            self.flight > 0
+            self.in_flight > 0
             or self.handle_releases.count_pending() > 0
             or self.server is not None
             and self.server.exchanging()
@@ -144,7 +144,7 @@
             "sequence": sequence,
             "active": self.lease.active,
             "staged": self.lease.staged,
-            "flight": self.flight,
+            "flight": self.in_flight,
             "waiting": self.admission.queued_count(),
             "frees_left": self.handle_releases.count_pending(),
             "extra_sends_left": self.retry_budget.rounded_available(),
@@ -157,7 +157,7 @@
         }
 
     def front(self):
-        app = route_front.RouteFront(self) if self.speech else router_front.RouterFront(self)
+        app = route_front.RouteFront(self) if self.replica_protocol else router_front.CompletionsFront(self)
         self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
         return self.server
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -14,7 +14,7 @@
         self.members = {member_id: MemberStub(self, member_id) for member_id in "ABC"}
         self.leader_tasks = {}
         for member_id, member in self.members.items():
-            self.leader_tasks[member_id] = orders.OrderTask(member, None, Lease(), None)
+            self.leader_tasks[member_id] = orders.OrderLeaderTask(member, None, Lease(), None)
             self.leader_tasks[member_id].tenure = tenure
         self.log, self.leader, self.frozen = [], None, {}
         self.arrived = []  # (time, member id, fencing token)
--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -88,7 +88,7 @@
 
     def duty(self, seat):
         lease = types.SimpleNamespace(current=lambda: (1, {"tenants": {TENANT: {"rate_per_s": RATE, "burst": BURST}}}))
-        return permit_duty.PermitTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        return permit_duty.PermitLeaderTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def boot_router(self):
         self.pool.handlers[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
@@ -114,7 +114,7 @@
     # --- what may happen ---
     def request(self):
         waiter = permits.Waiter(self.router.environment.new_event())
-        self.router.enter(TENANT, 1, waiter)
+        self.router.enqueue(TENANT, 1, waiter)
         self.requests.append((self.pool.steps, waiter))
 
     def new_leader(self):
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -126,7 +126,7 @@
     duty = group.leader_tasks["A"]
     duty.environment = NoticeEnvironment(group, duty.lease.change)
     place_replica(group, duty)
-    duty.load_task = types.SimpleNamespace(shifting={})
+    duty.load_task = types.SimpleNamespace(changing_until={})
     duty.order_role = lambda environment, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
     duty.start_order("r-1", "decode")
     assert written == ["decode"]
@@ -136,7 +136,7 @@
     site = platform_site.Site()
     try:
         host, (replica,) = site.service("p")
-        order, place = site.router.speech.order_role, site.router.replicas.endpoint(replica.name)
+        order, place = site.router.replica_protocol.order_role, site.router.replicas.endpoint(replica.name)
         with pytest.raises(web.WebFault):
             order(site.environment, place, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
