--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -30,15 +30,15 @@
 
 def load_member_id(disk, name, token_hex):
     """Reads or creates this member's id: its name and a random suffix that is lost when the data folder is wiped."""
-    text = disk.read("incarnation").decode()
-    if not text:
-        if any(name.startswith("part-") for name in disk.names()):
+    suffix = disk.read("incarnation").decode()
+    if not suffix:
+        if any(file_name.startswith("part-") for file_name in disk.names()):
             raise disk_module.DiskFault("the data folder holds logs but no incarnation file; wipe the folder")
-        text = token_hex(6)
-        disk.put("incarnation", text.encode())
+        suffix = token_hex(6)
+        disk.put("incarnation", suffix.encode())
     else:
         disk.sync_names()  # a process killed during creation may not have synced the file name
-    return f"{name}/{text}"
+    return f"{name}/{suffix}"
 
 
 class Keeper:
--- a/tests/all_orders.py
+++ b/tests/all_orders.py
@@ -22,9 +22,9 @@
     def deliver(self, index):
         destination, sender, kind, body = self.waiting.pop(index)
         handlers = self.handlers.get(destination, {})
-        call = handlers.get((kind, body.get("part"))) or handlers.get((kind, None))
-        if call:
-            call(sender, body)
+        callback = handlers.get((kind, body.get("part"))) or handlers.get((kind, None))
+        if callback:
+            callback(sender, body)
 
 
 class ManualEnvironment:
@@ -38,11 +38,11 @@
     def now(self):
         return self.pool.time
 
-    def post(self, call):
-        self.timers.append(call)
+    def post(self, callback):
+        self.timers.append(callback)
 
-    def call_later(self, delay, call):
-        self.timers.append(call)
+    def call_later(self, delay, callback):
+        self.timers.append(callback)
         return types.SimpleNamespace(cancel=lambda: None)
 
     def send(self, destination, kind, **body):
@@ -54,8 +54,8 @@
         for address in addresses:
             self.send(address, kind, **body)
 
-    def subscribe(self, kind, call, part=None):
-        self.pool.handlers.setdefault(self.address, {})[(kind, part)] = call
+    def subscribe(self, kind, callback, part=None):
+        self.pool.handlers.setdefault(self.address, {})[(kind, part)] = callback
 
 
 def disk():
@@ -82,30 +82,30 @@
     count, script = 0, []
     while script is not None and count < max_orders:
         pool, case = make()
-        widths, at = [], 0
+        choices, position = [], 0
         while pool.waiting and pool.steps < 200:
             pool.steps += 1
-            if at < depth:
-                pick = script[at] if at < len(script) else 0
-                widths.append((pick, len(deliverable_indexes(pool, per_link_order))))
-                at += 1
+            if position < depth:
+                pick = script[position] if position < len(script) else 0
+                choices.append((pick, len(deliverable_indexes(pool, per_link_order))))
+                position += 1
             else:
                 pick = 0
             pool.deliver(deliverable_indexes(pool, per_link_order)[pick])
             check(case)
         end(case)
         count += 1
-        script = next_script(widths)
+        script = next_script(choices)
     assert script is None, "more delivery orders than max_orders"
     return count
 
 
-def next_script(widths):
+def next_script(choices):
     """The next script in lexicographic order, or None after the last."""
-    for at in range(len(widths) - 1, -1, -1):
-        pick, width = widths[at]
-        if pick + 1 < width:
-            return [p for p, w in widths[:at]] + [pick + 1]
+    for position in range(len(choices) - 1, -1, -1):
+        pick, option_count = choices[position]
+        if pick + 1 < option_count:
+            return [choice for choice, _count in choices[:position]] + [pick + 1]
     return None
 
 
--- a/tests/order_group.py
+++ b/tests/order_group.py
@@ -73,9 +73,9 @@
             self.result = self.machine.apply(0, command)
         self.last_applied = len(self.group.log)
 
-    def propose(self, command, call=lambda result: None):
+    def propose(self, command, callback=lambda result: None):
         self.group.commit(command)
-        call(self.result)
+        callback(self.result)
 
 
 def advance_time(group, seconds):
