--- a/tests/operators.py
+++ b/tests/operators.py
@@ -11,9 +11,9 @@
 import tests.platform_site as platform_site
 
 # What may happen to one of eight orders: how its commit goes, or that the commits that wait come.
-ACTS = strategies.lists(
+OPERATIONS = strategies.lists(
     strategies.tuples(
-        strategies.sampled_from(["at once", "late", "lost", "unsure", "stuck", "come"]),
+        strategies.sampled_from(["immediate", "delayed", "lost", "no majority", "mailbox blocked", "deliver commits"]),
         strategies.integers(0, 7),
     ),
     max_size=30,
@@ -24,27 +24,30 @@
     """An event whose wait carries out what its mailbox holds, then says whether it was set."""
 
     def __init__(self, member):
-        self.member, self.open, self.waited = member, False, []
+        self.member, self.is_set, self.timeouts = member, False, []
 
     def set(self):
-        self.open = True
+        self.is_set = True
 
     def wait(self, timeout):
-        self.waited.append(timeout)
-        self.member.work()
-        return self.open
+        self.timeouts.append(timeout)
+        self.member.run_mailbox()
+        return self.is_set
 
 
-class Member:
+class FakeLeader:
     """A leader whose majority, disk and commits are set by hand."""
 
     def __init__(self):
         self.machine = config_machine.ConfigMachine()
         self.member_id, self.leader, self.last_contact, self.time = "A/1", "A/1", 0.0, 100.0
-        self.members = {w: {"address": f"{w}:1", "http": f"{w[0]}:80"} for w in ("A/1", "B/1", "C/1")}
+        self.members = {
+            member_id: {"address": f"{member_id}:1", "http": f"{member_id[0]}:80"}
+            for member_id in ("A/1", "B/1", "C/1")
+        }
         self.environment = types.SimpleNamespace(now=lambda: self.time, post=self.post)
-        self.is_leader, self.confirmed, self.mailbox_stuck, self.commits = True, True, False, "at once"
-        self.mailbox, self.proposed, self.waiting, self.events = [], [], [], []
+        self.is_leader, self.confirmed, self.mailbox_blocked, self.commits = True, True, False, "immediate"
+        self.mailbox, self.proposed, self.pending_commits, self.events = [], [], [], []
 
     def has_quorum(self):
         return self.is_leader and self.confirmed
@@ -52,24 +55,24 @@
     def post(self, call):
         self.mailbox.append(call)
 
-    def work(self):
-        while self.mailbox and not self.mailbox_stuck:
+    def run_mailbox(self):
+        while self.mailbox and not self.mailbox_blocked:
             self.mailbox.pop(0)()
 
     def confirm_leadership(self, call):
         if self.confirmed:
             call(True)
         else:
-            self.waiting.append(lambda: call(False))
+            self.pending_commits.append(lambda: call(False))
 
     def propose(self, command, call):
         self.proposed.append(command)
-        if self.commits == "at once":
+        if self.commits == "immediate":
             call(self.machine.apply(0, command))
         elif self.commits == "lost":
             call(None)
         else:
-            self.waiting.append(lambda: call(self.machine.apply(0, command)))
+            self.pending_commits.append(lambda: call(self.machine.apply(0, command)))
 
     def new_event(self):
         self.events.append(Event(self))
@@ -110,13 +113,13 @@
     return fronts.call(platform_front(member), "PATCH", "/configuration", body, {"If-Match": str(base)})
 
 
-def own_patch(member, base, order_id, **change):
+def api_patch(member, base, order_id, **change):
     """(status, headers, body) of a change by named items on our own front; change: put, remove."""
     body = {"base": base, "id": order_id, **change}
     return fronts.call(operator_api.OperatorApi(keeper(member)), "PATCH", "/configuration", body)
 
 
-def own_put(member, base, order_id):
+def api_put(member, base, order_id):
     body = {"base": base, "document": configuration.EXAMPLE, "id": order_id}
     return fronts.call(operator_api.OperatorApi(keeper(member)), "PUT", "/configuration", body)[:2]
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -24,10 +24,10 @@
 
 
 @pytest.fixture(scope="module")
-def day():
-    found = sim.SimFleet("bad-input")
-    found.ready()
-    return found
+def ready_fleet():
+    simulated_fleet = sim.SimFleet("bad-input")
+    simulated_fleet.ready()
+    return simulated_fleet
 
 
 @pytest.mark.parametrize(
@@ -63,24 +63,24 @@
         ({"path": "/metrics"}, 405),
     ],
 )
-def test_requests_that_are_refused_say_not_run(day, change, status):
-    app = day.net.apps[day.settings["route-1"]["http"]][1]
+def test_rejected_requests_have_the_verdict_not_run(ready_fleet, change, status):
+    app = ready_fleet.net.apps[ready_fleet.settings["route-1"]["http"]][1]
     data = change.get("data", {**BODY, **change.get("body", {})})
-    got = fronts.call(
+    response = fronts.call(
         app,
         change.get("method", "POST"),
         change.get("path", "/v1/completions"),
         data,
         {**HEADERS, **change.get("headers", {})},
     )
-    assert got[0] == status and got[2]["error"]["verdict"] == "not_run"
-    assert day.parts["route-1"].flight == 0 and not any(r["kind"] == "seen" for r in day.ledger)
+    assert response[0] == status and response[2]["error"]["verdict"] == "not_run"
+    assert ready_fleet.parts["route-1"].flight == 0 and not any(r["kind"] == "seen" for r in ready_fleet.ledger)
 
 
-def test_without_a_configuration_a_request_is_bounced_with_retry_after():
-    early = sim.SimFleet("early")
-    early.run(0.1)
-    app = early.net.apps[early.settings["route-1"]["http"]][1]
+def test_request_before_the_first_configuration_is_rejected_with_retry_after():
+    new_fleet = sim.SimFleet("early")
+    new_fleet.run(0.1)
+    app = new_fleet.net.apps[new_fleet.settings["route-1"]["http"]][1]
     status, headers, body = fronts.call(app, "POST", "/v1/completions", BODY, HEADERS)
     assert (status, body["error"]["verdict"], headers["retry-after"]) == (503, "not_run", "1")
 
@@ -111,23 +111,23 @@
         ),
     ],
 )
-def test_a_bad_configuration_names_every_fault_and_applies_nothing(day, body, paths):
-    app = operator_api.OperatorApi(day.parts[day.leader()])
-    status, headers, said = fronts.call(app, "PUT", "/configuration", body)
-    assert status == 400 and said["error"]["verdict"] == "not_run"
-    assert [f.split(":")[0] for f in said["error"].get("faults", [])] == paths
-    assert day.parts[day.leader()].members[0].machine.latest == 1
+def test_invalid_configuration_reports_every_error_and_applies_nothing(ready_fleet, body, paths):
+    app = operator_api.OperatorApi(ready_fleet.parts[ready_fleet.leader()])
+    status, headers, response = fronts.call(app, "PUT", "/configuration", body)
+    assert status == 400 and response["error"]["verdict"] == "not_run"
+    assert [f.split(":")[0] for f in response["error"].get("faults", [])] == paths
+    assert ready_fleet.parts[ready_fleet.leader()].members[0].machine.latest == 1
 
 
-def test_a_stale_base_gets_409_with_the_current_sequence(day):
-    box = []
+def test_stale_base_gets_409_with_the_current_sequence(ready_fleet):
+    responses = []
     body = {"base": 0, "document": fleet.document("patinetes")}
-    day.operator(lambda: box.append(day.ask("PUT", "/configuration", body)))
-    day.run(2)
-    assert box[0][0] == 409 and box[0][1]["error"]["current"] == 1
+    ready_fleet.operator(lambda: responses.append(ready_fleet.ask("PUT", "/configuration", body)))
+    ready_fleet.run(2)
+    assert responses[0][0] == 409 and responses[0][1]["error"]["current"] == 1
 
 
-def test_settings_list_every_fault(tmp_path):
+def test_invalid_settings_report_every_error(tmp_path):
     path = tmp_path / "s.json"
     path.write_text(
         json.dumps({"name": "x y", "address": "host:1", "http": "127.0.0.1:99999", "cell": "", "seeds": [], "odd": 1})
@@ -142,35 +142,35 @@
     assert done.returncode == 2 and "seeds" in done.stderr + done.stdout
 
 
-def spoiled():
-    good = records.pack("ask", part=0, mark=1, held=0, staged=0)
-    yield b"XXXX" + good[4:]
-    yield good[:6] + b"\xff\xff\xff\xff" + good[10:]
-    yield good[:-1] + bytes([good[-1] ^ 1])
+def malformed_records():
+    record = records.pack("ask", part=0, mark=1, held=0, staged=0)
+    yield b"XXXX" + record[4:]
+    yield record[:6] + b"\xff\xff\xff\xff" + record[10:]
+    yield record[:-1] + bytes([record[-1] ^ 1])
     yield records.HEAD.pack(records.MARK, records.CODEC.by_name["ask"].number, 3, records.zlib.crc32(b"abc")) + b"abc"
 
 
-def test_a_bad_peer_record_closes_its_connection_and_nothing_else():
+def test_malformed_peer_record_closes_only_its_connection():
     host = f"127.0.0.1:{fleet.free_port('127.0.0.1')}"
-    heard, own = [], peers.Peers(host)
-    own.subscribe("ask", 0, lambda who, body: heard.append(body["mark"]))
+    received, peer = [], peers.Peers(host)
+    peer.subscribe("ask", 0, lambda sender, body: received.append(body["mark"]))
     hello = records.pack("hello", address="127.0.0.1:1")
     try:
-        for number, bad in enumerate(spoiled(), 1):
+        for number, bad in enumerate(malformed_records(), 1):
             with socket.create_connection(link.split(host), 5) as conn:
                 conn.settimeout(5)
                 conn.sendall(hello + bad)
                 assert conn.recv(1) == b""  # closed on us
-            assert own.figures()["links_record_fault"] == number
+            assert peer.figures()["links_record_fault"] == number
         with socket.create_connection(link.split(host), 5) as conn:
             conn.sendall(hello + records.pack("ask", part=0, mark=7, held=0, staged=0))
-            until = time.monotonic() + 5
-            while not heard and time.monotonic() < until:
+            deadline = time.monotonic() + 5
+            while not received and time.monotonic() < deadline:
                 conn.settimeout(0.01)
                 try:
                     conn.recv(1)
                 except TimeoutError:
                     pass
-        assert heard == [7]
+        assert received == [7]
     finally:
-        own.stop()
+        peer.stop()
--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -17,62 +17,62 @@
     return fleet, fleet.leader()
 
 
-def send(fleet, name, body, said):
-    """Send a change to one keeper; what it answers is added to said."""
+def send(fleet, name, body, responses):
+    """Send a change to one keeper; what it answers is added to responses."""
 
     def call():
         try:
             url = f"http://{fleet.settings[name]['http']}/configuration"
-            said.append(fleet.ops.web.send("PATCH", url, body, read=1.0).status)
+            responses.append(fleet.ops.web.send("PATCH", url, body, read=1.0).status)
         except sim.network.web.WebFault:
-            said.append(0)
+            responses.append(0)
 
     fleet.operator(call)
 
 
 def documents(fleet):
-    """The newest document as each living keeper holds it."""
-    found = []
+    """The newest document as each running keeper holds it."""
+    documents = []
     for name in fleet.names("keep"):
         machine = fleet.parts[name].members[0].machine
-        found.append((machine.latest, machine.docs[machine.latest]["doc"]))
-    return found
+        documents.append((machine.latest, machine.docs[machine.latest]["doc"]))
+    return documents
 
 
-@pytest.mark.parametrize("back", [False, True])
-def test_a_change_is_applied_whole_and_once_wherever_its_leader_is_lost(back):
-    """back: the lost leader starts again, with what its disk had synced."""
-    ends = set()
+@pytest.mark.parametrize("restarted", [False, True])
+def test_change_is_applied_once_whenever_its_leader_crashes(restarted):
+    """restarted: the lost leader starts again, with what its disk had synced."""
+    outcomes = set()
     for step in range(STEPS):
         fleet, leader = three_keepers(f"change-{step}")
         body = {"base": 1, "put": {"pools": {"spare": POOL}}, "id": "add spare", "by": "test"}
-        said = []
-        send(fleet, leader, body, said)
+        responses = []
+        send(fleet, leader, body, responses)
         fleet.run(step * STEP)
         fleet.kill(leader)
-        ends.add(tuple(said))
+        outcomes.add(tuple(responses))
         fleet.run(2.0)
-        if back:
+        if restarted:
             fleet.start(leader)
             fleet.run(1.0)
-        before = [latest for latest, document in documents(fleet) if latest]
-        if said == [200]:  # acknowledged: it must have outlived its leader
-            assert max(before) == 2
+        sequences = [latest for latest, document in documents(fleet) if latest]
+        if responses == [200]:  # acknowledged: it must have outlived its leader
+            assert max(sequences) == 2
         answers = []
         fleet.operator(lambda f=fleet, b=body, a=answers: a.append(f.ask("PATCH", "/configuration", b)))
         fleet.run(5.0)
         assert answers == [(200, {"sequence": 2, "id": "add spare"})]
         whole = {**real_fleet.document(fleet.deployment)["pools"], "spare": POOL}
-        living = [
-            row for name, row in zip(fleet.names("keep"), documents(fleet), strict=True) if name != leader or back
+        running = [
+            row for name, row in zip(fleet.names("keep"), documents(fleet), strict=True) if name != leader or restarted
         ]
-        for latest, document in living:
+        for latest, document in running:
             assert latest == 2 and sorted(document["pools"]) == sorted(whole)
             assert document["pools"]["spare"]["selector"] == POOL["selector"]
-    assert {(), (200,)} <= ends  # lost before the acknowledgement, and after it
+    assert {(), (200,)} <= outcomes  # lost before the acknowledgement, and after it
 
 
-def test_a_change_and_a_whole_document_that_race_through_two_keepers_have_one_winner():
+def test_racing_change_and_document_have_one_winner():
     winners = set()
     for seed in range(12):
         fleet, leader = three_keepers(f"race-{seed}")
@@ -81,17 +81,17 @@
             "PUT": {"base": 1, "document": document, "id": "whole"},
             "PATCH": {"base": 1, "put": {"pools": {"spare": POOL}}, "id": "spare"},
         }
-        said = {}
+        responses = {}
 
-        def call(method, body, said=said, fleet=fleet):
-            said[method] = fleet.ask(method, "/configuration", body)[0]
+        def call(method, body, responses=responses, fleet=fleet):
+            responses[method] = fleet.ask(method, "/configuration", body)[0]
 
         for method, body in orders.items():
             delay = fleet.random.random() * 0.01
             fleet.later(delay, lambda m=method, b=body, c=call, f=fleet: f.operator(lambda: c(m, b)))
         fleet.run(6.0)
-        assert sorted(said.values()) == [200, 409]
-        won = min(said, key=said.get)
+        assert sorted(responses.values()) == [200, 409]
+        won = min(responses, key=responses.get)
         winners.add(won)
         for latest, document in documents(fleet):
             assert latest == 2 and ("spare" in document["pools"]) == (won == "PATCH")
--- a/tests/test_commit_time_bounds.py
+++ b/tests/test_commit_time_bounds.py
@@ -180,7 +180,7 @@
         commits_while_appends_are_late()
 
 
-class Inheritor(test_lease_state.Seat):
+class Inheritor(test_lease_state.FakeMember):
     """A leader that can date what it inherits."""
 
     moment = None
--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -1,4 +1,4 @@
-"""The replicated configuration state: its size, the record of taken orders, one content per number."""
+"""The replicated configuration state: its size, the record of accepted orders, one content per number."""
 
 import json
 
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("later", [1, 64, 65, 700, 2600])
-def test_a_taken_order_is_acknowledged_again_after_any_number_of_changes(later):
+def test_accepted_order_is_acknowledged_again_after_any_number_of_changes(later):
     machine = changed_often(later + 1, size=10)
     restored = config_machine.ConfigMachine()
     restored.restore(json.loads(json.dumps(machine.dump())))
@@ -58,33 +58,33 @@
         assert state.apply(0, stage(0, 9999, "never taken")) == {"conflict": later + 1}
 
 
-def test_past_the_record_an_order_is_left_unclear_and_never_refused(monkeypatch):
+def test_order_dropped_from_the_record_has_unknown_outcome(monkeypatch):
     machine = config_machine.ConfigMachine()
     machine.accepted = accepted_orders.AcceptedOrders(max_orders=10)
     for base in range(100):
         machine.apply(0, stage(base, base + 1, f"order {base}"))
     for base in range(100):
-        said = machine.apply(0, stage(base, base + 1, f"order {base}"))
-        assert said == ({"sequence": base + 1} if base >= 90 else {"unknown": base})
+        result = machine.apply(0, stage(base, base + 1, f"order {base}"))
+        assert result == ({"sequence": base + 1} if base >= 90 else {"unknown": base})
         wrong = machine.apply(0, stage(base, base + 1, f"another {base}"))
         assert wrong == ({"conflict": 100} if base >= 90 else {"unknown": base})
     assert machine.latest == 100
 
 
-def test_a_whole_record_is_small_and_comes_back_whole():
-    taken = accepted_orders.AcceptedOrders()
+def test_full_record_is_small_and_survives_a_snapshot():
+    record = accepted_orders.AcceptedOrders()
     for sequence in range(1, constants.MAX_REMEMBERED_ORDERS + 101):
-        taken.add(f"order {sequence}", sequence)
-    text = json.dumps(taken.dump())
+        record.add(f"order {sequence}", sequence)
+    text = json.dumps(record.dump())
     assert len(text) < 40 * constants.MAX_REMEMBERED_ORDERS
     other = accepted_orders.AcceptedOrders()
     other.restore(json.loads(text))
-    assert other.sequences == taken.sequences and list(other.sequences) == list(taken.sequences)
-    assert other.floor == taken.floor == 100
+    assert other.sequences == record.sequences and list(other.sequences) == list(record.sequences)
+    assert other.floor == record.floor == 100
     assert other.sequence_of("order 101") == 101 and other.sequence_of("order 100") is None
 
 
-def test_a_snapshot_from_before_the_record_remembers_its_documents():
+def test_snapshot_without_a_record_derives_it_from_its_documents():
     old = changed_often(5, size=10).dump()
     del old["taken"]
     old["docs"] = old["docs"][1:]
@@ -103,22 +103,22 @@
     strategies.integers(1, 30),
     strategies.integers(0, 25),
 )
-def test_one_number_is_taken_for_one_content_whatever_is_sent_and_sent_again(orders, most, restart_at):
-    """Editions rise, each has one content, and what was taken is acknowledged or unclear for ever."""
+def test_each_sequence_is_assigned_to_one_order(orders, most, restart_at):
+    """Editions rise, each has one content, and what was accepted is acknowledged or unclear for ever."""
     machine = config_machine.ConfigMachine()
     machine.accepted = accepted_orders.AcceptedOrders(max_orders=most)
     acknowledged, numbers = {}, {}
-    for place, (base, step, content) in enumerate(orders):
-        if place == restart_at:
+    for position, (base, step, content) in enumerate(orders):
+        if position == restart_at:
             state, machine = json.loads(json.dumps(machine.dump())), config_machine.ConfigMachine()
             machine.accepted = accepted_orders.AcceptedOrders(max_orders=most)
             machine.restore(state)
             machine.accepted.max_orders = most
         base = max(0, machine.latest - base) if base else machine.latest
         order = stage(base, base + step, f"{base} {base + step} {content}", {"content": content})
-        said = machine.apply(0, order)
+        result = machine.apply(0, order)
         if order["id"] in acknowledged:
-            assert said in ({"sequence": acknowledged[order["id"]]}, {"unknown": base})
-        elif "sequence" in said:
-            assert said["sequence"] not in numbers and said["sequence"] == machine.latest
-            acknowledged[order["id"]] = numbers[said["sequence"]] = said["sequence"]
+            assert result in ({"sequence": acknowledged[order["id"]]}, {"unknown": base})
+        elif "sequence" in result:
+            assert result["sequence"] not in numbers and result["sequence"] == machine.latest
+            acknowledged[order["id"]] = numbers[result["sequence"]] = result["sequence"]
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -16,7 +16,7 @@
 
 def leader_with_a_configuration():
     """A leader whose newest edition is 5, with one route and one depot."""
-    member = operators.Member()
+    member = operators.FakeLeader()
     assert operators.put(member, 0, 5)[0] == 200
     return member
 
@@ -25,7 +25,7 @@
     return fronts.call(operators.platform_front(member), "GET", "/configuration")[2]
 
 
-def test_items_are_put_in_place_or_added_and_others_removed():
+def test_items_are_replaced_added_and_removed():
     member = leader_with_a_configuration()
     first = copy.deepcopy(newest(member))
     change = {
@@ -33,16 +33,18 @@
         | {"depots": [platform_site.depot("two", False)]}
     }
     assert operators.patch(member, 5, 9, change)[0] == 200
-    said = newest(member)
-    assert said["edition"] == 9 and said["note"] == first["note"]
-    assert said["itineraries"] == change["deliver"]["itineraries"]
-    assert said["depots"] == [*first["depots"], *change["deliver"]["depots"]]
+    document = newest(member)
+    assert document["edition"] == 9 and document["note"] == first["note"]
+    assert document["itineraries"] == change["deliver"]["itineraries"]
+    assert document["depots"] == [*first["depots"], *change["deliver"]["depots"]]
     assert operators.patch(member, 9, 10, {"withdraw": {"itineraries": ["r-one"], "depots": ["one"]}})[0] == 200
-    said = newest(member)
-    assert [r["name"] for r in said["itineraries"]] == ["r-two"] and [d["name"] for d in said["depots"]] == ["two"]
+    document = newest(member)
+    assert [r["name"] for r in document["itineraries"]] == ["r-two"] and [d["name"] for d in document["depots"]] == [
+        "two"
+    ]
 
 
-def test_the_order_of_what_stays_is_kept():
+def test_order_of_remaining_items_is_preserved():
     member = leader_with_a_configuration()
     rows = [route(f"r{n}", f"h{n}") for n in range(4)]
     assert operators.patch(member, 5, 6, {"deliver": {"itineraries": rows}})[0] == 200
@@ -52,7 +54,7 @@
     assert newest(member)["itineraries"][1:] == [rows[0], moved, rows[3]]
 
 
-def test_what_is_agreed_on_is_the_whole_document():
+def test_replicated_entry_contains_the_whole_document():
     member = leader_with_a_configuration()
     assert operators.patch(member, 5, 6, {"deliver": {"itineraries": [route("r2", "h2")]}})[0] == 200
     document = member.machine.docs[6]["doc"]
@@ -105,7 +107,7 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_a_change_that_is_wrong_anywhere_is_turned_away_whole(name):
+def test_invalid_change_is_rejected_completely(name):
     member = leader_with_a_configuration()
     before, count = newest(member), len(member.proposed)
     status, headers, body = operators.patch(member, 5, 6, copy.deepcopy(INVALID[name]))
@@ -115,21 +117,21 @@
 
 
 @pytest.mark.parametrize("edition", [5, 4, 0, -1, True, None, "6", 6.5, [6], 2**53, 10**400])
-def test_the_edition_of_a_change_must_rise(edition):
+def test_edition_of_a_change_must_increase(edition):
     member = leader_with_a_configuration()
     assert 400 <= operators.patch(member, 5, edition, {"withdraw": {"itineraries": ["r-one"]}})[0] < 500
     assert newest(member)["edition"] == 5
 
 
 @pytest.mark.parametrize("data", [b"", b"{", b"[]", b"7", b"null", b"[" * 100000, b'{"edition": NaN}'], ids=repr)
-def test_what_is_no_change_is_turned_away(data):
+def test_malformed_change_is_rejected(data):
     member = leader_with_a_configuration()
     front = operators.platform_front(member)
     assert fronts.call(front, "PATCH", "/configuration", data, {"If-Match": "5"})[0] == 400
     assert newest(member)["edition"] == 5
 
 
-def test_a_change_on_a_base_that_is_not_in_place_is_412_even_if_it_would_not_fit():
+def test_change_on_another_base_is_412_even_if_it_is_inapplicable():
     member = leader_with_a_configuration()
     for base in (0, 4, 6, 99):
         assert operators.patch(member, base, 100, {"withdraw": {"itineraries": ["nobody"]}})[0] == 412
@@ -137,13 +139,13 @@
     assert newest(member)["edition"] == 5
 
 
-def test_a_first_configuration_may_come_as_a_change():
-    member = operators.Member()
+def test_first_configuration_may_be_a_change():
+    member = operators.FakeLeader()
     change = {"deliver": {"depots": [platform_site.depot("one")], "itineraries": [route("a", "a")]}}
     assert operators.patch(member, 0, 3, change)[0] == 200 and newest(member)["itineraries"] == [route("a", "a")]
 
 
-def test_a_change_that_would_make_the_document_too_large_is_turned_away(monkeypatch):
+def test_change_that_makes_the_document_too_large_is_rejected(monkeypatch):
     member = leader_with_a_configuration()
     monkeypatch.setattr(constants, "MAX_BODY_BYTES", 6000)
     rows = [route(f"r{n}", f"h{n}") for n in range(40)]
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -24,30 +24,30 @@
     }
 
 
-def test_of_orders_on_one_base_one_wins_in_any_order_and_its_repeats_are_acknowledged():
+def test_one_of_several_orders_on_a_base_wins_and_its_repeats_succeed():
     sends, winners = orders_on_one_base(), set()
     for order in set(itertools.permutations([*sends, *sends])):
         member = leader_with_a_configuration()
-        said = [(name, sends[name](member)) for name in order]
-        assert all(status == (200 if name == order[0] else 412) for name, status in said)
+        responses = [(name, sends[name](member)) for name in order]
+        assert all(status == (200 if name == order[0] else 412) for name, status in responses)
         winners.add((order[0], newest(member)["edition"]))
     assert winners == {("put", 6), ("add", 7), ("remove", 8)}
 
 
-def test_of_orders_that_are_under_way_at_once_one_wins_in_any_order():
+def test_one_of_several_concurrent_orders_wins():
     """All three have read edition 5 before the first is committed; commits come in any order of the log."""
     for order in itertools.permutations(orders_on_one_base()):
         member = leader_with_a_configuration()
-        member.commits = "late"
+        member.commits = "delayed"
         sends = orders_on_one_base()
         assert [sends[name](member) for name in order] == [504] * 3
-        for commit in member.waiting:
+        for commit in member.pending_commits:
             commit()
-        member.commits = "at once"
+        member.commits = "immediate"
         assert [sends[name](member) for name in order] == [200, 412, 412]
 
 
-def test_a_change_sent_again_after_newer_ones_is_acknowledged_and_changes_nothing():
+def test_repeated_change_after_newer_ones_is_acknowledged_without_effect():
     member = leader_with_a_configuration()
     change = {"deliver": {"itineraries": [route("a", "a")]}}
     assert operators.patch(member, 5, 6, change)[0] == 200
@@ -58,29 +58,29 @@
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 412
 
 
-def test_a_put_and_a_change_of_the_same_words_are_two_orders():
-    member = operators.Member()
+def test_put_and_patch_with_the_same_body_are_different_orders():
+    member = operators.FakeLeader()
     body = {"edition": 1, "deliver": {"depots": [platform_site.depot("one")], "itineraries": []}}
     front, headers = operators.platform_front(member), {"If-Match": "0"}
     assert fronts.call(front, "PATCH", "/configuration", body, headers)[0] == 200
     assert fronts.call(front, "PUT", "/configuration", body, headers)[0] == 400
 
 
-@pytest.mark.parametrize("way", ["unsure", "stuck", "lost"])
-def test_a_change_without_a_clear_end_is_neither_acknowledged_nor_refused(way):
+@pytest.mark.parametrize("outcome", ["no majority", "mailbox blocked", "lost"])
+def test_change_with_unknown_outcome_is_neither_acknowledged_nor_rejected(outcome):
     member = leader_with_a_configuration()
-    member.confirmed, member.mailbox_stuck = way != "unsure", way == "stuck"
-    member.commits = "lost" if way == "lost" else "at once"
+    member.confirmed, member.mailbox_blocked = outcome != "no majority", outcome == "mailbox blocked"
+    member.commits = "lost" if outcome == "lost" else "immediate"
     change = {"withdraw": {"itineraries": ["r-one"]}}
-    assert operators.patch(member, 5, 6, change)[0] == (504 if way == "lost" else 503)
-    member.confirmed, member.mailbox_stuck, member.commits = True, False, "at once"
-    member.work()
+    assert operators.patch(member, 5, 6, change)[0] == (504 if outcome == "lost" else 503)
+    member.confirmed, member.mailbox_blocked, member.commits = True, False, "immediate"
+    member.run_mailbox()
     assert newest(member)["edition"] == 5 and operators.patch(member, 5, 6, change)[0] == 200
 
 
-def test_both_steps_of_a_change_share_one_span_of_waiting():
+def test_both_steps_of_a_change_share_one_timeout():
     member = leader_with_a_configuration()
-    member.commits = "late"
+    member.commits = "delayed"
 
     def confirm(call):
         member.time += 0.3
@@ -89,27 +89,27 @@
     member.confirm_leadership = confirm
     member.events.clear()
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 504
-    waited = [span for event in member.events for span in event.waited]
+    waited = [timeout_s for event in member.events for timeout_s in event.timeouts]
     assert waited == [constants.OPERATOR_CALL_TIMEOUT_S, pytest.approx(constants.OPERATOR_CALL_TIMEOUT_S - 0.3)]
 
 
 @STEADY
-@hypothesis.given(operators.ACTS)
-def test_no_taken_change_is_refused_and_no_number_is_acknowledged_twice(acts):
+@hypothesis.given(operators.OPERATIONS)
+def test_accepted_changes_are_never_rejected_and_editions_never_reused(operations):
     """Whole documents and changes on rising bases, sent and sent again while majority and commits come and go."""
-    member = operators.Member()
+    member = operators.FakeLeader()
     assert operators.put(member, 0, 1)[0] == 200
     orders = [(base, base + 1, kind) for base in (1, 2, 3, 4) for kind in ("put", "patch")]
     acknowledged = {}
-    for way, at in acts + [("come", 0)] + [("at once", n) for n in range(8)]:
-        if way == "come":
-            waiting, member.waiting = member.waiting, []
+    for outcome, index in operations + [("deliver commits", 0)] + [("immediate", n) for n in range(8)]:
+        if outcome == "deliver commits":
+            waiting, member.pending_commits = member.pending_commits, []
             for call in waiting:
                 call()
             continue
-        member.confirmed, member.mailbox_stuck = way != "unsure", way == "stuck"
-        member.commits = way if way in ("late", "lost") else "at once"
-        base, edition, kind = orders[at]
+        member.confirmed, member.mailbox_blocked = outcome != "no majority", outcome == "mailbox blocked"
+        member.commits = outcome if outcome in ("delayed", "lost") else "immediate"
+        base, edition, kind = orders[index]
         if kind == "put":
             status = operators.put(member, base, edition, "whole")[0]
         else:
--- a/tests/test_document_difference.py
+++ b/tests/test_document_difference.py
@@ -33,7 +33,7 @@
 
 @STEADY
 @hypothesis.given(DOCUMENTS, DOCUMENTS)
-def test_applying_the_difference_gives_exactly_the_newer_document(base, newer):
+def test_applying_the_difference_yields_exactly_the_newer_document(base, newer):
     before = json.dumps([base, newer])
     change = json.loads(json.dumps(document_difference.difference(base, newer)))
     assert json.dumps(document_difference.apply_difference(base, change)) == json.dumps(newer)
@@ -42,7 +42,7 @@
 
 @STEADY
 @hypothesis.given(DOCUMENTS, strategies.data())
-def test_sections_that_did_not_change_are_the_same_objects(base, data):
+def test_unchanged_sections_are_the_same_objects(base, data):
     newer = copy.deepcopy(base)
     touched = data.draw(strategies.sampled_from([None, *base]))
     if touched:
@@ -51,7 +51,7 @@
     assert all(result[section] is base[section] for section in base if section != touched)
 
 
-def test_one_changed_item_among_many_is_all_that_is_sent():
+def test_difference_contains_only_changed_items():
     tenants = {f"t{n}": {"share": 1, "keys": ["0" * 32]} for n in range(80)}
     routes = [{"name": f"r{n}", "prefix": "/"} for n in range(30)]
     base = {"tenants": tenants, "routes": routes}
@@ -62,7 +62,7 @@
     }
 
 
-def test_items_in_another_order_are_sent_whole():
+def test_reordered_items_are_sent_as_a_whole_section():
     base = {"routes": [{"name": "a"}, {"name": "b"}]}
     newer = {"routes": [{"name": "b"}, {"name": "a"}]}
     assert document_difference.difference(base, newer) == {"whole": newer}
@@ -79,7 +79,7 @@
         {"order": ["unknown"]},
     ],
 )
-def test_a_difference_that_does_not_fit_is_refused_and_changes_nothing(change):
+def test_inapplicable_difference_is_rejected_and_changes_nothing(change):
     base = {"model": "a", "pools": {"main": {}}, "routes": []}
     before = copy.deepcopy(base)
     with pytest.raises(document_difference.DifferenceError):
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -31,7 +31,7 @@
     return pool.waiting.pop()[3]
 
 
-def test_a_grant_to_the_process_before_is_no_lease_of_its_successor():
+def test_grant_for_the_previous_process_is_ignored_after_a_restart():
     pool = all_orders.Pool()
     before = start(pool, "first life")
     late = [grant(ask(pool, before)) for _ in range(3)]
@@ -47,7 +47,7 @@
     assert after.sequence() == 3
 
 
-def test_the_whole_time_without_a_lease_is_reported(monkeypatch):
+def test_full_gap_without_a_lease_is_reported(monkeypatch):
     """A new leader answers with grants of no length for a while: they end no such time and shorten none."""
     pool, reported = all_orders.Pool(), []
     monkeypatch.setattr(
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -20,19 +20,19 @@
     return {"op": "stage", "base": base, "sequence": sequence, "doc": doc, "by": "", "id": order_id}
 
 
-class Seat:
+class FakeMember:
     """A member that is always the confirmed leader and commits at once."""
 
     def __init__(self, environment):
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
         self.leader, self.last_contact = self.member_id, 0.0
-        self.held_back = []  # confirmations, while they are held back
-        self.hold = False
+        self.delayed_confirmations = []  # confirmations, while they are held back
+        self.delay_confirmations = False
 
     def confirm_leadership(self, call):
-        if self.hold:
-            self.held_back.append(call)
+        if self.delay_confirmations:
+            self.delayed_confirmations.append(call)
         else:
             call(True)
 
@@ -47,13 +47,13 @@
 
 
 def deployment(routers=2):
-    """A pool, the duty on its leader, and leases that hold sequence 1."""
+    """A pool, the task on its leader, and leases that hold sequence 1."""
     pool = all_orders.Pool()
-    duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
-    duty.machine.apply(0, stage(0, 1, "order 0", {"n": 1, "as_sent": {"big": "text"}}))
-    duty.machine.active = 1
-    duty.start()
-    duty.activation_allowed_at -= 10
+    task = config_leader_task.ConfigLeaderTask(FakeMember(all_orders.ManualEnvironment(pool, "a:1")))
+    task.machine.apply(0, stage(0, 1, "order 0", {"n": 1, "as_sent": {"big": "text"}}))
+    task.machine.active = 1
+    task.start()
+    task.activation_allowed_at -= 10
     leases = [lease_module.Lease(all_orders.ManualEnvironment(pool, f"r:{n}"), lambda: ["a:1"]) for n in range(routers)]
     for lease in leases:
         lease.request_lease()
@@ -61,22 +61,22 @@
         pool.deliver(0)
     assert [lease.sequence() for lease in leases] == [1] * routers
     pool.time += constants.DOCUMENT_RESEND_S
-    return pool, duty, leases
+    return pool, task, leases
 
 
 def documents_sent(pool):
-    return [s for goal, sender, kind, body in pool.waiting if "docs" in body for s, doc in body["docs"]]
+    return [s for destination, sender, kind, body in pool.waiting if "docs" in body for s, doc in body["docs"]]
 
 
-def test_what_operators_sent_is_not_shipped_to_routers():
-    pool, duty, leases = deployment(1)
-    assert leases[0].document() == {"n": 1} and "as_sent" in duty.machine.docs[1]["doc"]
+def test_original_operator_text_is_not_sent_to_routers():
+    pool, task, leases = deployment(1)
+    assert leases[0].document() == {"n": 1} and "as_sent" in task.machine.docs[1]["doc"]
 
 
-def test_a_router_is_sent_the_newest_document_and_not_those_between():
-    pool, duty, leases = deployment(1)
+def test_router_is_sent_only_the_newest_document():
+    pool, task, leases = deployment(1)
     for base in range(1, 30):
-        duty.machine.apply(0, stage(base, base + 1, f"order {base}"))
+        task.machine.apply(0, stage(base, base + 1, f"order {base}"))
         pool.waiting.clear()  # the router is cut off
     pool.time += 2.0
     leases[0].request_lease()
@@ -84,9 +84,9 @@
     assert documents_sent(pool) == [30]
 
 
-def test_a_document_on_its_way_is_not_sent_again_until_it_may_be_lost():
-    pool, duty, leases = deployment(1)
-    duty.machine.apply(0, stage(1, 2, "order 1"))
+def test_document_in_flight_is_not_resent_before_the_resend_interval():
+    pool, task, leases = deployment(1)
+    task.machine.apply(0, stage(1, 2, "order 1"))
     leases[0].request_lease()
     pool.deliver(1)  # the ask overtakes nothing: the grant that follows carries no second copy
     assert documents_sent(pool) == [2]
@@ -97,41 +97,41 @@
     assert documents_sent(pool) == [2]
 
 
-def test_an_acknowledgement_is_not_forgotten_over_an_older_ask():
-    pool, duty, leases = deployment(1)
-    duty.member.hold = True
+def test_older_request_does_not_undo_an_acknowledgement():
+    pool, task, leases = deployment(1)
+    task.member.delay_confirmations = True
     leases[0].request_lease()
     pool.deliver(0)  # asked before anything new is staged; the majority's answer takes its time
-    duty.machine.apply(0, stage(1, 2, "order 1"))
-    duty.leaseholders["r:0"].staged = 2
-    for call in duty.member.held_back:
+    task.machine.apply(0, stage(1, 2, "order 1"))
+    task.leaseholders["r:0"].staged = 2
+    for call in task.member.delayed_confirmations:
         call(True)
-    assert duty.leaseholders["r:0"].staged == 2
+    assert task.leaseholders["r:0"].staged == 2
 
 
-def test_a_router_that_skipped_what_became_active_gets_it():
+def test_router_receives_an_active_document_that_it_skipped():
     """One router has only sequence 3, the other only 2: 2 becomes active and the first is sent it."""
-    pool, duty, leases = deployment(2)
-    duty.machine.apply(0, stage(1, 2, "order 1"))
+    pool, task, leases = deployment(2)
+    task.machine.apply(0, stage(1, 2, "order 1"))
     pool.waiting = [row for row in pool.waiting if row[0] == "r:1"]  # the first router misses it
     pool.time += 0.01
-    duty.machine.apply(0, stage(2, 3, "order 2"))
+    task.machine.apply(0, stage(2, 3, "order 2"))
     pool.waiting = [row for row in pool.waiting if row[0] != "r:1" or row[3]["docs"][0][0] == 2]
     while pool.waiting:
         pool.deliver(0)
-    assert duty.machine.active == 2
+    assert task.machine.active == 2
     pool.time += constants.DOCUMENT_RESEND_S
     leases[0].request_lease()
     while pool.waiting:
         pool.deliver(0)
-    assert duty.machine.active == 2 and leases[0].sequence() == 2
+    assert task.machine.active == 2 and leases[0].sequence() == 2
     for _turn in range(4):
         pool.time += 0.06
         for lease in leases:
             lease.request_lease()
         while pool.waiting:
             pool.deliver(0)
-    assert duty.machine.active == 3 and [lease.sequence() for lease in leases] == [3, 3]
+    assert task.machine.active == 3 and [lease.sequence() for lease in leases] == [3, 3]
 
 
 @STEADY
@@ -141,29 +141,29 @@
         max_size=60,
     )
 )
-def test_the_bounds_hold_whatever_is_lost_skipped_or_late(acts):
+def test_lease_bounds_hold_under_loss_and_delay(steps):
     """Two seconds after an acknowledgement and SHORT_LEASE_S after an activation nothing older is served."""
-    pool, duty, leases = deployment(2)
+    pool, task, leases = deployment(2)
     acknowledged, activated = {1: pool.time}, {}
-    for act in acts + ["wait"] * 4:
-        if act == "stage":
-            number = duty.machine.latest + 1
-            duty.machine.apply(0, stage(number - 1, number, f"order {number - 1}"))
+    for step in steps + ["wait"] * 4:
+        if step == "stage":
+            number = task.machine.latest + 1
+            task.machine.apply(0, stage(number - 1, number, f"order {number - 1}"))
             acknowledged[number] = pool.time
-        elif act == "deliver" and pool.waiting:
+        elif step == "deliver" and pool.waiting:
             pool.deliver(0)
-        elif act == "lose" and pool.waiting:
+        elif step == "lose" and pool.waiting:
             pool.waiting.pop(0)
-        elif act.startswith("ask"):
-            leases[int(act[-1])].request_lease()
-        elif act in ("wait", "long"):
-            pool.time += 0.06 if act == "wait" else 0.5
-            duty.try_activate()
-        for number in range(2, duty.machine.active + 1):
+        elif step.startswith("ask"):
+            leases[int(step[-1])].request_lease()
+        elif step in ("wait", "long"):
+            pool.time += 0.06 if step == "wait" else 0.5
+            task.try_activate()
+        for number in range(2, task.machine.active + 1):
             activated.setdefault(number, pool.time)
         for lease, (number, at) in itertools.product(leases, acknowledged.items()):
             if lease.active < number:
-                assert lease.valid_until <= at + duty.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
+                assert lease.valid_until <= at + task.bounds.older_lease_window_s + constants.SHORT_LEASE_S + 1e-9
         for lease, (number, at) in itertools.product(leases, activated.items()):
             if lease.active < number:
                 assert lease.valid_until <= at + constants.SHORT_LEASE_S + 1e-9
@@ -198,17 +198,17 @@
     return {"mark": lease.request_mark, "length": length, "active": active, "docs": list(docs), "number": 1}
 
 
-def test_a_staged_document_and_an_activation_renew_the_lease_at_once():
+def test_staging_and_activation_renew_the_lease_immediately():
     pool, lease = timed_lease()
     for news in ({"number": 2, "docs": [[2, {"n": 2}]], "active": 1}, {"number": 3, "docs": [], "active": 2}):
-        asked = lease.request_mark
+        mark_before = lease.request_mark
         lease.on_news("a:1", news)
-        assert lease.request_mark == asked + 1 and len(lease.environment.due) == 1
+        assert lease.request_mark == mark_before + 1 and len(lease.environment.due) == 1
         pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
     assert lease.active == 2
 
 
-def test_after_a_short_grant_the_next_ask_comes_within_the_short_beat():
+def test_short_grant_is_renewed_within_the_short_interval():
     pool, lease = timed_lease()
     lease.request_lease()
     lease.on_grant("a:1", grant(lease, constants.SHORT_LEASE_S, 1))
@@ -217,9 +217,9 @@
     ]
 
 
-def test_however_much_news_comes_at_once_one_ask_goes_out():
+def test_burst_of_news_causes_one_request():
     pool, lease = timed_lease()
-    asked = lease.request_mark
+    mark_before = lease.request_mark
     for number in range(2, 40):
         lease.on_news("a:1", {"number": number, "docs": [[number, {}]], "active": number - 1})
-    assert lease.request_mark == asked + 1 and len(lease.environment.due) == 1
+    assert lease.request_mark == mark_before + 1 and len(lease.environment.due) == 1
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -34,7 +34,7 @@
 """
 
 
-def test_the_subset_becomes_the_same_document():
+def test_supported_manifests_are_translated_to_a_document():
     document = manifests.translate(GOOD)
     assert configuration.validation_errors(document) == []
     assert document["pairings"] == [
@@ -66,7 +66,7 @@
         ("spec: {model", "spec: {{model", "line"),
     ],
 )
-def test_what_is_not_supported_is_named_and_refused(old, new, place):
+def test_unsupported_manifests_are_rejected_with_their_path(old, new, place):
     assert old in GOOD
     with pytest.raises(manifests.ManifestError, match=place):
         manifests.translate(GOOD.replace(old, new, 1))
--- a/tests/test_operate_keys.py
+++ b/tests/test_operate_keys.py
@@ -22,7 +22,7 @@
 @pytest.fixture
 def keeper(monkeypatch):
     """A keeper that the commands ask, and what its front was sent; its newest document is of sequence 1."""
-    member = operators.Member()
+    member = operators.FakeLeader()
     parts = operators.keeper(member)
     parts.leader_tasks = [types.SimpleNamespace(report=dict)]
     front, sent = operator_api.OperatorApi(parts), []
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -13,10 +13,10 @@
 
 @pytest.fixture
 def site():
-    found = platform_site.Site()
-    found.lease.change(senders=TENANTS)
-    yield found
-    found.stop()
+    new_site = platform_site.Site()
+    new_site.lease.change(senders=TENANTS)
+    yield new_site
+    new_site.stop()
 
 
 def bearer(key):
@@ -27,7 +27,7 @@
     return [request for replica in replicas for request in replica.asked]
 
 
-def test_unasked_a_key_is_passed_on_to_no_replica(site):
+def test_unasked_key_is_not_forwarded_to_replicas(site):
     host, replicas = site.service("pd")
     _own, answer = site.ask(host, headers=bearer(KEY))
     sends = all_sends(replicas)
@@ -36,7 +36,7 @@
     assert [request.all("Authorization") for request in sends] == [[], []]
 
 
-def test_unasked_the_sender_is_the_tenant_that_holds_the_key(site):
+def test_unasked_sender_header_is_the_tenant_of_the_key(site):
     host, replicas = site.service("pd")
     site.ask(host, headers=[*bearer(KEY), ("Sender", "nono58")])
     assert [request.all("Sender") for request in all_sends(replicas)] == [["kaje80"], ["kaje80"]]
@@ -55,13 +55,13 @@
     ],
     ids=["none", "unknown", "two", "another scheme", "no scheme", "cut short", "other letters"],
 )
-def test_route_a_request_without_a_known_key_runs_nowhere(site, headers):
+def test_route_request_without_known_key_is_not_sent_to_replicas(site, headers):
     host, replicas = site.service("pd")
     _own, answer = site.ask(host, headers=headers)
     assert answer.status == 401 and all_sends(replicas) == []
 
 
-def test_config_a_key_that_was_taken_away_is_refused(site):
+def test_config_removed_key_is_rejected(site):
     host, replicas = site.service("pd")
     assert site.ask(host, headers=bearer(KEY))[1].status == 200
     site.lease.change(senders=[{**TENANTS[0], "permits": []}, TENANTS[1]])
@@ -72,43 +72,43 @@
 
 
 @pytest.mark.parametrize("legs", ["pd", "d"])
-def test_where_keys_are_asked_for_a_callers_own_urgency_reaches_no_replica(site, legs):
+def test_client_urgency_is_not_forwarded_when_keys_are_required(site, legs):
     host, replicas = site.service(legs)
     _own, answer = site.ask(host, headers=[*bearer(KEY), ("Urgency", "7")])
-    told = [request.all("Urgency") for request in all_sends(replicas)]
-    assert answer.status == 200 and len(told) == len(legs)
-    assert all(len(rows) == 1 and rows != ["7"] for rows in told)
+    sent = [request.all("Urgency") for request in all_sends(replicas)]
+    assert answer.status == 200 and len(sent) == len(legs)
+    assert all(len(rows) == 1 and rows != ["7"] for rows in sent)
 
 
 @pytest.mark.parametrize("urgency, sent", [(0, ["0", "0"]), (1, ["3", "3"]), (2, ["6", "6"]), (9, ["6", "6"])])
-def test_the_urgency_of_a_tenant_comes_before_the_rank_of_the_reading(site, urgency, sent):
-    host, (reader, writer) = site.service("pd", urgency=5)
+def test_tenant_urgency_takes_precedence_over_the_prefill_rank(site, urgency, sent):
+    host, (prefill_replica, decode_replica) = site.service("pd", urgency=5)
     site.lease.change(senders=[{**TENANTS[0], "urgency": urgency}, TENANTS[1]])
     site.ask(host, headers=bearer(KEY))
-    assert [replica.asked[0].get("Urgency") for replica in (reader, writer)] == sent
+    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == sent
 
 
-def test_the_urgency_of_the_route_counts_where_the_tenant_has_none(site):
-    host, (reader, writer) = site.service("pd", urgency=1)
+def test_route_urgency_applies_when_the_tenant_has_none(site):
+    host, (prefill_replica, decode_replica) = site.service("pd", urgency=1)
     site.lease.change(senders=[{"name": "kaje80", "permits": [KEY]}])
     site.ask(host, headers=bearer(KEY))
-    assert [replica.asked[0].get("Urgency") for replica in (reader, writer)] == ["3", "3"]
+    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["3", "3"]
 
 
-def test_without_tenants_only_the_rank_of_the_reading_is_told(site):
+def test_without_tenants_only_the_prefill_rank_is_sent(site):
     site.lease.said.pop("senders")
-    host, (reader, writer) = site.service("pd", urgency=1)
+    host, (prefill_replica, decode_replica) = site.service("pd", urgency=1)
     site.ask(host)
-    assert [replica.asked[0].get("Urgency") for replica in (reader, writer)] == ["0", "0"]
+    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["0", "0"]
 
 
-def test_a_caller_with_a_key_cannot_make_itself_more_urgent_than_its_tenant(site):
-    host, (reader, writer) = site.service("pd")
+def test_client_cannot_raise_its_urgency_above_its_tenants(site):
+    host, (prefill_replica, decode_replica) = site.service("pd")
     site.ask(host, headers=[*bearer(KEY), ("Urgency", "0")])
-    assert [replica.asked[0].all("Urgency") for replica in (reader, writer)] == [["3"], ["3"]]
+    assert [replica.asked[0].all("Urgency") for replica in (prefill_replica, decode_replica)] == [["3"], ["3"]]
 
 
-def test_a_key_with_letters_beyond_ascii_is_known_by_the_bytes_that_come(site):
+def test_non_ascii_key_is_matched_by_its_bytes(site):
     key = "schl\u00fcssel"
     site.lease.change(senders=[{"name": "kaje80", "permits": [key]}])
     host, replicas = site.service("pd")
