--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -10,35 +10,35 @@
 import time
 
 import mothshed.constants as constants
-import mothshed.data_plane.carry as carry
 import mothshed.data_plane.identity as identity
-import mothshed.data_plane.intake as intake
+import mothshed.data_plane.request_execution as request_execution
+import mothshed.data_plane.request_parsing as request_parsing
 import mothshed.http.caller as caller_module
 import mothshed.http.front as front
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.log_buffer as log_buffer
 
 
-class RouterFront:
+class CompletionsFront:
     def __init__(self, router):
         self.router = router
 
     def __call__(self, environ, start):
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
-        if path in intake.PATHS:
+        if path in request_parsing.PATHS:
             if method != "POST":
                 return front.fault(start, 405, "use POST", headers=[("Allow", "POST")])
             return self.complete(path, environ, start)
-        pages = {"/condition": self.condition, "/metrics": self.metrics}
-        if path in pages:
+        handlers = {"/condition": self.condition, "/metrics": self.metrics}
+        if path in handlers:
             if method != "GET":
                 return front.fault(start, 405, "use GET", headers=[("Allow", "GET")])
-            return pages[path](start)
+            return handlers[path](start)
         return front.fault(start, 404, f"no such path {path}")
 
     def condition(self, start):
-        said = self.router.condition()
-        return front.respond(start, 200 if said["serving"] else 503, said)
+        condition = self.router.condition()
+        return front.respond(start, 200 if condition["serving"] else 503, condition)
 
     def metrics(self, start):
         return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
@@ -47,113 +47,115 @@
         router = self.router
         headers = front.headers_of(environ)
         headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
-        if not router.enter():
+        if not router.begin_request():
             return front.fault(
                 start, 503, "this router is stopping", retry=constants.RETRY_AFTER_S, headers=[("Connection", "close")]
             )
         try:
-            request = self.read(path, environ, headers, environ.get("mothshed.caller"))
-            run = carry.Carry(router, request).run()
-            first = next(run)
+            request = self.parse_request(path, environ, headers, environ.get("mothshed.caller"))
+            execution = request_execution.RequestExecution(router, request).run()
+            first = next(execution)
         except BaseException as e:
-            router.leave()
-            return self.failed(start, e, headers)
+            router.end_request()
+            return self.respond_failure(start, e, headers)
         if request.stream:
             start(front.line(200), [("Content-Type", "text/event-stream"), ("X-Request-Id", request.id)])
-            return Events(router, request, first, run)
+            return EventStream(router, request, first, execution)
         try:
-            rows = [first, *run]
+            tokens = [first, *execution]
         except BaseException as e:
-            return self.failed(start, e, headers)
+            return self.respond_failure(start, e, headers)
         finally:
-            router.leave()
+            router.end_request()
         router.journal.add("request", outcome="done", request=request.id)
-        return front.respond(start, 200, whole(request, rows), [("X-Request-Id", request.id)])
+        return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
 
-    def read(self, path, environ, headers, caller):
+    def parse_request(self, path, environ, headers, caller):
         """The request; its waits and cutoff count from when it arrived, not from when a thread was free."""
         router = self.router
-        born, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
+        arrived_at, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
         document = router.lease.document()
         if document is None:
             raise verdict.Rejection(503, "no configuration yet", constants.RETRY_AFTER_S, "no_configuration")
-        found = None
+        caller_identity = None
         if document.get("require_key"):
             sequence, document = router.wait_for_lease(caller or caller_module.Caller())
             if sequence is None:
                 raise verdict.Rejection(503, "no lease", constants.RETRY_AFTER_S, "no_lease")
-            found = identity.of_caller(document, router.tables.of(sequence, document).keys, headers)
-        request = intake.parse(born, path, headers, data, document, found)
+            caller_identity = identity.identify_caller(document, router.tables.table_for(sequence, document).keys, headers)
+        request = request_parsing.parse(arrived_at, path, headers, data, document, caller_identity)
         if caller:
             caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
             request.caller = caller
         return request
 
-    def failed(self, start, e, headers):
-        name = headers.get("x-request-id", "")
-        name = name if intake.ID.match(name) else ""
-        extra = [("X-Request-Id", name)] if name else []
-        add = functools.partial(self.router.journal.add, request=name)
-        if isinstance(e, front.BadBody):
-            add("request", outcome="invalid")
-            return front.fault(start, e.status, e.reason, headers=extra + [("Connection", "close")])
-        if isinstance(e, verdict.Rejection):
-            add("request", outcome=identity.REFUSED.get(e.status, "invalid"))
-            if e.status == 503:
-                add("bounce", outcome="no_lease" if self.router.lease.sequence() is None else e.cause)
-            extra += identity.challenge(e.status)
-            return front.fault(start, e.status, e.reason, retry=e.retry_after_s, headers=extra)
-        if isinstance(e, verdict.CallerDisconnected):
-            add("request", outcome="left")
-            return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=extra)
-        if isinstance(e, verdict.RequestFailure):
-            add("request", outcome="failed")
-            late = any(f.reason == "cutoff passed" or "Timeout" in f.reason for f in e.exceptions)
+    def respond_failure(self, start, error, headers):
+        request_id = headers.get("x-request-id", "")
+        request_id = request_id if request_parsing.REQUEST_ID.match(request_id) else ""
+        headers_out = [("X-Request-Id", request_id)] if request_id else []
+        add_entry = functools.partial(self.router.journal.add, request=request_id)
+        if isinstance(error, front.BadBody):
+            add_entry("request", outcome="invalid")
+            return front.fault(start, error.status, error.reason, headers=headers_out + [("Connection", "close")])
+        if isinstance(error, verdict.Rejection):
+            add_entry("request", outcome=identity.REFUSAL_OUTCOMES.get(error.status, "invalid"))
+            if error.status == 503:
+                add_entry("bounce", outcome="no_lease" if self.router.lease.sequence() is None else error.cause)
+            headers_out += identity.challenge_headers(error.status)
+            return front.fault(start, error.status, error.reason, retry=error.retry_after_s, headers=headers_out)
+        if isinstance(error, verdict.CallerDisconnected):
+            add_entry("request", outcome="left")
+            return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=headers_out)
+        if isinstance(error, verdict.RequestFailure):
+            add_entry("request", outcome="failed")
+            timed_out = any(f.reason == "cutoff passed" or "Timeout" in f.reason for f in error.exceptions)
             return front.fault(
                 start,
-                504 if late else 502,
-                "; ".join(str(f) for f in e.exceptions),
+                504 if timed_out else 502,
+                "; ".join(str(f) for f in error.exceptions),
                 verdict="may_have_run",
-                headers=extra,
+                headers=headers_out,
             )
-        if not isinstance(e, Exception):
-            raise e
-        log_buffer.failure("request_crashed", e)
-        add("request", outcome="crashed")
-        return front.fault(start, 500, "internal fault", verdict="may_have_run", headers=extra)
+        if not isinstance(error, Exception):
+            raise error
+        log_buffer.failure("request_crashed", error)
+        add_entry("request", outcome="crashed")
+        return front.fault(start, 500, "internal fault", verdict="may_have_run", headers=headers_out)
 
 
-def chunk_of(request, text, finish, made):
+def make_chunk(request, text, finish_reason, created):
     if request.path == "/v1/chat/completions":
-        choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish}
+        choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
         kind = "chat.completion.chunk"
     else:
-        choice, kind = {"index": 0, "text": text, "finish_reason": finish}, "text_completion"
+        choice, kind = {"index": 0, "text": text, "finish_reason": finish_reason}, "text_completion"
     return {
         "id": f"cmpl-{request.id}",
         "object": kind,
-        "created": made,
+        "created": created,
         "model": request.body["model"],
         "choices": [choice],
     }
 
 
-def whole(request, rows):
-    text, finish = "".join(t for t, f in rows), rows[-1][1]
-    said = chunk_of(request, text, finish, int(time.time()))
+def make_response(request, tokens):
+    text, finish_reason = "".join(t for t, f in tokens), tokens[-1][1]
+    response = make_chunk(request, text, finish_reason, int(time.time()))
     if request.path == "/v1/chat/completions":
-        said["object"] = "chat.completion"
-        said["choices"] = [{"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": finish}]
-    said["usage"] = {"completion_tokens": len(rows)}
-    return said
+        response["object"] = "chat.completion"
+        response["choices"] = [
+            {"index": 0, "message": {"role": "assistant", "content": text}, "finish_reason": finish_reason}
+        ]
+    response["usage"] = {"completion_tokens": len(tokens)}
+    return response
 
 
-class Events:
+class EventStream:
     """The body of a streamed answer. Raising in it breaks the stream visibly."""
 
-    def __init__(self, router, request, first, run):
-        self.router, self.request, self.run = router, request, run
-        self.rows = self.events(first)
+    def __init__(self, router, request, first, execution):
+        self.router, self.request, self.execution = router, request, execution
+        self.encoded_events = self.encode_events(first)
         self.open = True
         self.outcome = "left"
 
@@ -161,26 +163,26 @@
         return self
 
     def __next__(self):
-        return next(self.rows)
+        return next(self.encoded_events)
 
-    def events(self, first):
-        made = int(time.time())
+    def encode_events(self, first):
+        created = int(time.time())
         try:
-            yield self.pack(first, made)
-            for row in self.run:
-                yield self.pack(row, made)
+            yield self.encode_event(first, created)
+            for token in self.execution:
+                yield self.encode_event(token, created)
             yield b"data: [DONE]\n\n"
         except verdict.StreamInterrupted:
             self.outcome = "broken"
             raise
         self.outcome = "done"
 
-    def pack(self, row, made):
-        return b"data: " + json.dumps(chunk_of(self.request, *row, made)).encode() + b"\n\n"
+    def encode_event(self, token, created):
+        return b"data: " + json.dumps(make_chunk(self.request, *token, created)).encode() + b"\n\n"
 
     def close(self):
         if self.open:
             self.open = False
-            self.run.close()
-            self.router.leave()
+            self.execution.close()
+            self.router.end_request()
             self.router.journal.add("request", outcome=self.outcome, request=self.request.id)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -74,7 +74,7 @@
         {**HEADERS, **change.get("headers", {})},
     )
     assert response[0] == status and response[2]["error"]["verdict"] == "not_run"
-    assert ready_fleet.parts["route-1"].flight == 0 and not any(r["kind"] == "seen" for r in ready_fleet.ledger)
+    assert ready_fleet.parts["route-1"].in_flight == 0 and not any(r["kind"] == "seen" for r in ready_fleet.ledger)
 
 
 def test_request_before_the_first_configuration_is_rejected_with_retry_after():
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -50,7 +50,7 @@
 
 
 def ended(site):
-    platform_site.until(lambda: site.router.flight == 0, SPAN)
+    platform_site.until(lambda: site.router.in_flight == 0, SPAN)
 
 
 @pytest.mark.parametrize("surplus", [b"", b"POST /p/y HTTP/1.1\r\n"], ids=["closed", "closed after surplus bytes"])
@@ -107,7 +107,7 @@
 def test_who_leaves_while_no_place_is_free_is_sent_nowhere(site, monkeypatch):
     host, replicas = service(site, "pd")
     looked = []
-    pair = site.router.placing.pair
+    pair = site.router.placement.reserve_pair
 
     def after_the_caller_left(*given):
         if not looked:
@@ -116,7 +116,7 @@
             return None
         return pair(*given)
 
-    monkeypatch.setattr(site.router.placing, "pair", after_the_caller_left)
+    monkeypatch.setattr(site.router.placement, "reserve_pair", after_the_caller_left)
     caller = Caller(site, host)
     platform_site.until(lambda: looked)
     ended(site)
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.config_machine as config_machine
-import mothshed.control_plane.load_task as load_task
+import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.data_plane.route_front as route_front
 import mothshed.replicas.replica_load as replica_load
 import mothshed.storage.disk_log as disk_log
@@ -69,7 +69,7 @@
     """What one usage report costs the leader of a service part when so many routers report."""
     size = size or design.Size(requests=design.REQUESTS_S / design.NODES)
     member = LoneMember()
-    duty = load_task.LoadTask(member)
+    duty = load_leader_task.LoadLeaderTask(member)
     chance = design.seeded("usage", routers)
     names = [n for n, row in design.rows(size).items() if row["role"] == "decode"]
     names = names[:: constants.PART_COUNT - 1]  # one part's share of the replicas
@@ -85,7 +85,7 @@
         for at in range(routers)
     }
     for sender, body in bodies.items():
-        duty.reports.take(sender, replica_load.from_wire(body["rows"]))
+        duty.reports.record(sender, replica_load.from_wire(body["rows"]))
     sender, body = next(iter(bodies.items()))
     cost = spent(lambda: duty.on_usage(sender, body))
     up = len(records.pack("usage", part=1, mark=1, rows=body["rows"]))
@@ -191,7 +191,7 @@
     size = design.Size(routers=2, replicas=replicas)
     fleet = fleet_module.HollowFleet("requests", size).ready()
     router = fleet.routers()[0]
-    router.speech = HollowSpeech(events, router.speech)
+    router.replica_protocol = HollowSpeech(events, router.replica_protocol)
     app = route_front.RouteFront(router)
     environ = {
         "REQUEST_METHOD": "POST",
@@ -210,7 +210,7 @@
     whole = spent(one)
     if count[1] < count[0] * max(1, events):
         raise RuntimeError("a hollow request was not answered whole")
-    ask = route_front.Ask(
+    ask = route_front.RoutedRequest(
         "t",
         "POST",
         "tenant-007.fleet.example",
@@ -227,8 +227,8 @@
     sequence, document = router.lease.sequence(), router.lease.document()
 
     def place():
-        pair = router.placing.pair(sequence, document, design.model(7), ask)
-        router.placing.read(pair)
-        router.replicas.request_ended(pair.writer.name)
+        pair = router.placement.reserve_pair(sequence, document, design.model(7), ask)
+        router.placement.finish_prefill(pair)
+        router.replicas.request_ended(pair.decode_replica.name)
 
     return {"request": whole, "placing": spent(place), "answered": count[0] > 0}
