--- a/mothshed/control_plane/confirmed_calls.py
+++ b/mothshed/control_plane/confirmed_calls.py
@@ -27,9 +27,8 @@
     def __init__(self, event: typing.Any) -> None:
         self.event = event
         self.result: typing.Any = None
-        self.claimed = (
-            threading.Lock()
-        )  # acquired once: by the mailbox to start the call, or by the caller to withdraw it
+        # acquired once: by the mailbox to start the call, or by the caller to withdraw it
+        self.claimed = threading.Lock()
 
     def claim(self) -> bool:
         """Claim the call, to start or to withdraw it; true only for the first claim."""
--- a/tests/operators.py
+++ b/tests/operators.py
@@ -1,4 +1,4 @@
-"""A leader whose majority, disk and commits are set by hand, and operators' calls on its fronts."""
+"""A fake leader whose majority, disk and commits are set by the test, and operators' calls on its HTTP interfaces."""
 
 import types
 
@@ -10,7 +10,7 @@
 import tests.fronts as fronts
 import tests.platform_site as platform_site
 
-# What may happen to one of eight orders: how its commit goes, or that the commits that wait come.
+# Random operations on one of eight orders: send it with a given outcome, or deliver the pending commits.
 OPERATIONS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(["immediate", "delayed", "lost", "no majority", "mailbox blocked", "deliver commits"]),
@@ -21,7 +21,7 @@
 
 
 class Event:
-    """An event whose wait carries out what its mailbox holds, then says whether it was set."""
+    """An event whose wait() runs the pending mailbox calls, then returns whether the event was set."""
 
     def __init__(self, member):
         self.member, self.is_set, self.timeouts = member, False, []
@@ -36,7 +36,7 @@
 
 
 class FakeLeader:
-    """A leader whose majority, disk and commits are set by hand."""
+    """A leader whose majority, disk and commits are set by the test."""
 
     def __init__(self):
         self.machine = config_machine.ConfigMachine()
@@ -102,19 +102,19 @@
 
 
 def put(member, base, edition, note=""):
-    """(status, headers) of an operator's order on the platform's front."""
+    """(status, headers) of an operator's order on the platform's interface."""
     headers = {"If-Match": str(base)}
     return fronts.call(platform_front(member), "PUT", "/configuration", document(edition, note), headers)[:2]
 
 
 def patch(member, base, edition, change):
-    """(status, headers, body) of a change by named items on the platform's front; change: its other fields."""
+    """(status, headers, body) of a change by named items on the platform's interface; change: its other fields."""
     body = {"edition": edition, **change}
     return fronts.call(platform_front(member), "PATCH", "/configuration", body, {"If-Match": str(base)})
 
 
 def api_patch(member, base, order_id, **change):
-    """(status, headers, body) of a change by named items on our own front; change: put, remove."""
+    """(status, headers, body) of a change by named items on OperatorApi; change: put, remove."""
     body = {"base": base, "id": order_id, **change}
     return fronts.call(operator_api.OperatorApi(keeper(member)), "PATCH", "/configuration", body)
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input from callers, operators, settings and peers; test_bad_replica_answers has the replicas."""
+"""Invalid input from clients, operators, settings and peers; for replicas see test_bad_replica_answers."""
 
 import json
 import socket
@@ -160,7 +160,7 @@
             with socket.create_connection(link.split(host), 5) as conn:
                 conn.settimeout(5)
                 conn.sendall(hello + bad)
-                assert conn.recv(1) == b""  # closed on us
+                assert conn.recv(1) == b""  # closed by the peer
             assert peer.figures()["links_record_fault"] == number
         with socket.create_connection(link.split(host), 5) as conn:
             conn.sendall(hello + records.pack("ask", part=0, mark=7, held=0, staged=0))
--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -1,4 +1,4 @@
-"""A change by named items whose leader is killed, or loses power, at any moment of its way."""
+"""A change by named items whose leader crashes at any time while the change is processed."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 
 
 def three_keepers(seed):
-    """Three keepers with a first configuration, and the one that leads."""
+    """Three keepers with a first configuration, and the name of the leader."""
     fleet = sim.SimFleet(seed, routers=0, replicas=0)
     fleet.ready()
     return fleet, fleet.leader()
 
 
 def send(fleet, name, body, responses):
-    """Send a change to one keeper; what it answers is added to responses."""
+    """Send a change to one keeper; append the status of its response, 0 if there is none, to responses."""
 
     def call():
         try:
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("restarted", [False, True])
 def test_change_is_applied_once_whenever_its_leader_crashes(restarted):
-    """restarted: the lost leader starts again, with what its disk had synced."""
+    """restarted: whether the crashed leader is restarted with the data that its disk had synced."""
     outcomes = set()
     for step in range(STEPS):
         fleet, leader = three_keepers(f"change-{step}")
@@ -56,7 +56,7 @@
             fleet.start(leader)
             fleet.run(1.0)
         sequences = [latest for latest, document in documents(fleet) if latest]
-        if responses == [200]:  # acknowledged: it must have outlived its leader
+        if responses == [200]:  # acknowledged, so it must survive its leader
             assert max(sequences) == 2
         answers = []
         fleet.operator(lambda f=fleet, b=body, a=answers: a.append(f.ask("PATCH", "/configuration", b)))
@@ -69,7 +69,7 @@
         for latest, document in running:
             assert latest == 2 and sorted(document["pools"]) == sorted(whole)
             assert document["pools"]["spare"]["selector"] == POOL["selector"]
-    assert {(), (200,)} <= outcomes  # lost before the acknowledgement, and after it
+    assert {(), (200,)} <= outcomes  # crashes before and after the acknowledgement
 
 
 def test_racing_change_and_document_have_one_winner():
--- a/tests/test_config_state.py
+++ b/tests/test_config_state.py
@@ -1,4 +1,4 @@
-"""The replicated configuration state: its size, the record of accepted orders, one content per number."""
+"""The replicated configuration state: its size, the record of accepted orders, one document per sequence."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 def changed_often(count, size=1000, activate_every=1):
-    """A machine after so many changes of a document of about so many bytes."""
+    """A machine after `count` changes of a document of about `size` bytes."""
     machine = config_machine.ConfigMachine()
     for base in range(count):
         doc = {"text": "x" * size, "as_sent": {"text": "y" * size}}
@@ -104,7 +104,7 @@
     strategies.integers(0, 25),
 )
 def test_each_sequence_is_assigned_to_one_order(orders, most, restart_at):
-    """Editions rise, each has one content, and what was accepted is acknowledged or unclear for ever."""
+    """Sequences increase, each has one document, and an accepted order is always acknowledged or unknown."""
     machine = config_machine.ConfigMachine()
     machine.accepted = accepted_orders.AcceptedOrders(max_orders=most)
     acknowledged, numbers = {}, {}
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by named items: their forms, and what results."""
+"""Changes of the configuration by named items: valid and invalid forms, and the resulting documents."""
 
 import copy
 
@@ -113,7 +113,9 @@
     status, headers, body = operators.patch(member, 5, 6, copy.deepcopy(INVALID[name]))
     assert 400 <= status < 500 and status not in (408, 412, 429) and body["error"]["message"]
     assert newest(member) == before and len(member.proposed) == count
-    assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 200  # its number is not used
+    assert (
+        operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 200
+    )  # the edition is still unused
 
 
 @pytest.mark.parametrize("edition", [5, 4, 0, -1, True, None, "6", 6.5, [6], 2**53, 10**400])
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration by named items: repeats, races and lost answers, in all orders."""
+"""Changes of the configuration by named items: repeats, races and lost responses, in all orders."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 def orders_on_one_base():
-    """Three orders of three operators on edition 5, by what sends them."""
+    """Three orders of three operators on edition 5: name -> function that sends it."""
     return {
         "put": lambda member: operators.put(member, 5, 6, "whole")[0],
         "add": lambda member: operators.patch(member, 5, 7, {"deliver": {"itineraries": [route("a", "a")]}})[0],
@@ -35,7 +35,7 @@
 
 
 def test_one_of_several_concurrent_orders_wins():
-    """All three have read edition 5 before the first is committed; commits come in any order of the log."""
+    """All three read edition 5 before the first is committed; the entries are in any order in the log."""
     for order in itertools.permutations(orders_on_one_base()):
         member = leader_with_a_configuration()
         member.commits = "delayed"
@@ -96,7 +96,7 @@
 @STEADY
 @hypothesis.given(operators.OPERATIONS)
 def test_accepted_changes_are_never_rejected_and_editions_never_reused(operations):
-    """Whole documents and changes on rising bases, sent and sent again while majority and commits come and go."""
+    """Documents and changes on increasing bases, sent repeatedly while majority and commits fail and recover."""
     member = operators.FakeLeader()
     assert operators.put(member, 0, 1)[0] == 200
     orders = [(base, base + 1, kind) for base in (1, 2, 3, 4) for kind in ("put", "patch")]
--- a/tests/test_document_difference.py
+++ b/tests/test_document_difference.py
@@ -1,4 +1,4 @@
-"""A difference between two documents, applied to the older one, gives exactly the newer one."""
+"""The difference between two documents, applied to the older one, yields exactly the newer one."""
 
 import copy
 import json
--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -1,4 +1,4 @@
-"""Documents delivered as changes: what is sent, and what happens where a change or its base is lost."""
+"""Documents delivered as differences: what is sent, and what happens when a difference or its base is lost."""
 
 import itertools
 
@@ -15,7 +15,7 @@
 
 
 def document(number):
-    """A document that differs from the one before in one of three tenants, in turn: a wrong base is seen."""
+    """A document that differs from its predecessor in one of three tenants, so that a wrong base is detected."""
     tenants = {f"t{turn}": {"share": number - (number - turn) % 3} for turn in range(3)}
     return {"tenants": tenants, "pools": {"main": {}}, "routes": []}
 
@@ -30,7 +30,7 @@
 
 
 def deployment(routers=1):
-    """Routers that hold sequence 2, a document with tenants; nothing is on its way."""
+    """Routers that hold sequence 2, a document with tenants; no record is in flight."""
     pool, task, leases = lease_state.deployment(routers)
     stage(task, 2)
     deliver_all(pool)
@@ -43,7 +43,7 @@
 
 
 def sent(pool):
-    """Per record with documents on its way: sequences sent whole, and (sequence, base) of changes."""
+    """For each record in flight with documents: sequences sent whole, and (sequence, base) of differences."""
     rows = [body for destination, sender, kind, body in pool.waiting if kind in ("news", "grant")]
     return [([s for s, doc in body["docs"]], [(s, b) for s, b, change in body["changes"]]) for body in rows]
 
@@ -90,7 +90,7 @@
 def test_difference_is_based_on_the_acknowledged_document_not_the_active_one():
     pool, task, leases = deployment(2)
     stage(task, 3)
-    pool.waiting = [row for row in pool.waiting if row[0] == "r:0"]  # the other router keeps 2 active
+    pool.waiting = [row for row in pool.waiting if row[0] == "r:0"]  # the other router stays at 2
     pool.deliver(0)
     pool.deliver([row[2] for row in pool.waiting].index("news_ack"))
     pool.waiting.clear()
@@ -106,7 +106,7 @@
     stage(task, 3)
     lease.docs = {0: {}}
     pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
-    pool.deliver(0)  # the change
+    pool.deliver(0)  # the difference
     assert lease.staged == 2 and not lease.takes_changes
     lease.request_lease()
     deliver_all(pool)
@@ -127,7 +127,7 @@
 def test_restarted_process_is_sent_whole_documents_at_once():
     pool, task, (lease,) = deployment()
     stage(task, 3)
-    pool.waiting.clear()  # the change goes to the process before, which dies
+    pool.waiting.clear()  # the difference was sent to the previous process, which has ended
     pool.ears["r:0"] = {}
     successor = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:0", "next life"), lambda: ["a:1"])
     successor.request_lease()
@@ -210,7 +210,7 @@
 @lease_state.STEADY
 @hypothesis.given(strategies.lists(strategies.sampled_from(STEPS), max_size=60))
 def test_documents_match_and_lease_bounds_hold_under_loss(takes_changes, steps):
-    """Two seconds after an acknowledgement and SHORT_LEASE_S after an activation nothing older is served."""
+    """No older document is served two seconds after an acknowledgement or SHORT_LEASE_S after an activation."""
     pool, task, leases = deployment(2)
     for lease in leases:
         lease.takes_changes = takes_changes
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -1,4 +1,4 @@
-"""A record meant for the process before, at the same address, is no answer to its successor."""
+"""A restarted process ignores records meant for the previous process at its address; gaps without a lease."""
 
 import mothshed.configuration.lease as lease_module
 import mothshed.constants as constants
@@ -8,13 +8,13 @@
 
 
 def start(pool, life):
-    """A router's lease; what an earlier life at this address would have received, this one does."""
+    """A router's lease that replaces the previous process at this address and receives its records."""
     pool.ears[ADDRESS] = {}
     return lease_module.Lease(all_orders.ManualEnvironment(pool, ADDRESS, life), lambda: [KEEPER])
 
 
 def grant(ask, length=constants.LONG_LEASE_S):
-    """The grant that answers an ask, as a leader would send it."""
+    """The grant with which a leader would answer a request."""
     return {
         "part": 0,
         "mark": ask["mark"],
@@ -35,9 +35,9 @@
     pool = all_orders.Pool()
     before = start(pool, "first life")
     late = [grant(ask(pool, before)) for _ in range(3)]
-    pool.time += 0.001  # a process does not start again sooner
+    pool.time += 0.001  # a process restart takes at least this long
     after = start(pool, "second life")
-    for _ in range(3):  # had both lives counted from nought, these would carry the same marks
+    for _ in range(3):  # if marks started from 0, these would equal those of the previous process
         ask(pool, after)
     pool.time += 1.0
     for body in late:
@@ -48,7 +48,7 @@
 
 
 def test_full_gap_without_a_lease_is_reported(monkeypatch):
-    """A new leader answers with grants of no length for a while: they end no such time and shorten none."""
+    """A new leader may answer with grants of length 0 at first; these neither end nor shorten a gap."""
     pool, reported = all_orders.Pool(), []
     monkeypatch.setattr(
         lease_module.log_buffer, "report", lambda kind, **fields: reported.append((kind, fields["missing_s"]))
--- a/tests/test_lease_state.py
+++ b/tests/test_lease_state.py
@@ -1,4 +1,4 @@
-"""Leases over the product's own state machines: what is sent, when it is renewed, and the two bounds."""
+"""Leases with the real state machines: what is sent, when leases are renewed, and the two bounds on them."""
 
 import itertools
 import types
@@ -27,7 +27,7 @@
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
         self.is_leader, self.member_id, self.log = True, "A/1", types.SimpleNamespace(term=1)
         self.leader, self.last_contact = self.member_id, 0.0
-        self.delayed_confirmations = []  # confirmations, while they are held back
+        self.delayed_confirmations = []  # confirmations that are delayed
         self.delay_confirmations = False
 
     def confirm_leadership(self, call):
@@ -43,11 +43,11 @@
         return self.environment.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
-        return None  # nothing is known of another leader's time
+        return None  # unknown for entries of another leader
 
 
 def deployment(routers=2):
-    """A pool, the task on its leader, and leases that hold sequence 1."""
+    """A message pool, the leader task, and leases that hold sequence 1."""
     pool = all_orders.Pool()
     task = config_leader_task.ConfigLeaderTask(FakeMember(all_orders.ManualEnvironment(pool, "a:1")))
     task.machine.apply(0, stage(0, 1, "order 0", {"n": 1, "as_sent": {"big": "text"}}))
@@ -77,7 +77,7 @@
     pool, task, leases = deployment(1)
     for base in range(1, 30):
         task.machine.apply(0, stage(base, base + 1, f"order {base}"))
-        pool.waiting.clear()  # the router is cut off
+        pool.waiting.clear()  # the router is disconnected
     pool.time += 2.0
     leases[0].request_lease()
     pool.deliver(0)
@@ -88,7 +88,7 @@
     pool, task, leases = deployment(1)
     task.machine.apply(0, stage(1, 2, "order 1"))
     leases[0].request_lease()
-    pool.deliver(1)  # the ask overtakes nothing: the grant that follows carries no second copy
+    pool.deliver(1)  # the request; the grant that answers it contains no second copy
     assert documents_sent(pool) == [2]
     pool.waiting.clear()
     pool.time += constants.DOCUMENT_RESEND_S
@@ -101,7 +101,7 @@
     pool, task, leases = deployment(1)
     task.member.delay_confirmations = True
     leases[0].request_lease()
-    pool.deliver(0)  # asked before anything new is staged; the majority's answer takes its time
+    pool.deliver(0)  # requested before the new document is staged; the confirmation is delayed
     task.machine.apply(0, stage(1, 2, "order 1"))
     task.leaseholders["r:0"].staged = 2
     for call in task.member.delayed_confirmations:
@@ -110,7 +110,7 @@
 
 
 def test_router_receives_an_active_document_that_it_skipped():
-    """One router has only sequence 3, the other only 2: 2 becomes active and the first is sent it."""
+    """One router holds only sequence 3, the other only 2: 2 becomes active and is sent to the first router."""
     pool, task, leases = deployment(2)
     task.machine.apply(0, stage(1, 2, "order 1"))
     pool.waiting = [row for row in pool.waiting if row[0] == "r:1"]  # the first router misses it
@@ -142,7 +142,7 @@
     )
 )
 def test_lease_bounds_hold_under_loss_and_delay(steps):
-    """Two seconds after an acknowledgement and SHORT_LEASE_S after an activation nothing older is served."""
+    """No older document is served two seconds after an acknowledgement or SHORT_LEASE_S after an activation."""
     pool, task, leases = deployment(2)
     acknowledged, activated = {1: pool.time}, {}
     for step in steps + ["wait"] * 4:
@@ -170,7 +170,7 @@
 
 
 class TimedEnvironment(all_orders.ManualEnvironment):
-    """An environment that keeps how soon each call is due, and whether it was cancelled."""
+    """An environment that records when each timer is due, and removes cancelled timers."""
 
     def __init__(self, pool, address):
         super().__init__(pool, address)
@@ -187,7 +187,7 @@
     lease = lease_module.Lease(TimedEnvironment(pool, "r:1"), lambda: ["a:1"])
     lease.environment.timers.pop()()  # its first tick
     lease.on_grant("a:1", grant(lease, constants.LONG_LEASE_S, 1, [[1, {"n": 1}]]))
-    for _turn in range(2):  # the activation's ask, and then the usual beat
+    for _turn in range(2):  # the request after the activation, then the regular interval
         pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
         lease.environment.due.pop().call()
     pool.time += constants.SHORT_LEASE_RENEWAL_INTERVAL_S
--- a/tests/test_leases_during_changes.py
+++ b/tests/test_leases_during_changes.py
@@ -1,4 +1,4 @@
-"""Leases while changes go on: routers keep serving, and old configurations still end in time."""
+"""Leases during a series of changes: routers keep serving, and old configurations still end in time."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def apply_changes(fleet, count, gap):
-    """Changes one after another; returns the moments at which a router had no lease."""
+    """Apply changes in sequence; returns the times at which a router had no lease."""
     unleased = []
 
     def watch():
--- a/tests/test_manifests.py
+++ b/tests/test_manifests.py
@@ -1,4 +1,4 @@
-"""Manifests: the subset is translated, everything else is named and refused."""
+"""Manifests: the supported subset is translated, everything else is rejected with its path."""
 
 import pytest
 
--- a/tests/test_operator_calls.py
+++ b/tests/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""What a keeper answers an operator: leaders without a majority, lost answers, orders sent again."""
+"""Responses to operators: leaders without a majority, lost responses, repeated orders."""
 
 import pytest
 
@@ -43,7 +43,7 @@
 
 def test_write_not_started_by_the_mailbox_is_withdrawn():
     member = operators.FakeLeader()
-    member.mailbox_blocked = True  # a disk that stalls
+    member.mailbox_blocked = True  # as by a stalled disk
     assert operators.put(member, 0, 5)[0] == 503
     member.mailbox_blocked = False
     member.run_mailbox()
@@ -58,7 +58,7 @@
     for call in member.pending_commits:
         call()
     member.commits = "immediate"
-    if commits == "delayed":  # it was committed after all: sent again, to the same or another node
+    if commits == "delayed":  # committed after the response: repeating the order succeeds
         assert operators.put(member, 0, 5)[0] == 200
 
 
@@ -91,13 +91,13 @@
     member = operators.FakeLeader()
     assert [operators.put(member, 0, 5)[0], operators.put(member, 5, 9)[0]] == [200, 200]
     count = len(member.proposed)
-    assert operators.put(member, 0, 5)[0] == 200  # taken before
-    assert operators.put(member, 0, 6)[0] == 412  # lost its race
-    assert operators.put(member, 9, 9, "other")[0] == 400  # the number is used
+    assert operators.put(member, 0, 5)[0] == 200  # already accepted
+    assert operators.put(member, 0, 6)[0] == 412  # another order on this base was accepted first
+    assert operators.put(member, 9, 9, "other")[0] == 400  # the edition is already used
     assert len(member.proposed) == count
     member.confirm_leadership = lambda call: call(False)
     for base, edition in ((0, 5), (0, 6)):
-        assert operators.put(member, base, edition)[0] == 503  # neither acknowledged nor refused
+        assert operators.put(member, base, edition)[0] == 503  # neither acknowledged nor rejected
 
 
 def test_order_older_than_the_record_has_unknown_outcome():
--- a/tests/test_operator_random_sequences.py
+++ b/tests/test_operator_random_sequences.py
@@ -1,4 +1,4 @@
-"""Orders of operators while majorities, disks, commits and links come and go."""
+"""Random sequences of operators' orders while majorities, disks, commits and links fail and recover."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 @STEADY
 @hypothesis.given(operators.OPERATIONS)
 def test_accepted_orders_are_never_rejected_and_editions_never_reused(operations):
-    """Eight orders of two operators, sent and sent again while majority, disk and commits come and go."""
+    """Eight orders of two operators, sent repeatedly while majority, disk and commits fail and recover."""
     member = operators.FakeLeader()
     orders = [(base, edition, note) for base, edition in ((0, 1), (1, 2), (2, 3), (1, 3)) for note in "ab"]
     acknowledged, rejected = {}, set()
@@ -36,13 +36,13 @@
         elif status in (400, 412):
             sent = platform_site.operator_front.command_of(operators.document(edition, note), str(base))
             assert member.machine.accepted.sequence_of(sent["id"]) is None
-            if base <= member.machine.latest:  # one on a base that is yet to come may be sent again
+            if base <= member.machine.latest:  # an order on a future base may be repeated later
                 rejected.add(index)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_partitioned_leader_neither_confirms_nor_rejects(seed):
-    """Operators reach both sides; every answer comes within a second, and afterwards all agree."""
+    """Operators reach both sides of the partition; every response arrives within a second, and in the end all agree."""
     fleet = sim.SimFleet(f"cut-{seed}", routers=2, replicas=2)
     fleet.ready()
     old_leader = fleet.leader()
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -1,4 +1,4 @@
-"""Keys of tenants on the platform, over real sockets: who is served, and what a replica is shown."""
+"""Tenant keys on the platform, over real sockets: which requests are served, and what is sent to replicas."""
 
 import pytest
 
