--- a/tests/test_commit_time_bounds.py
+++ b/tests/test_commit_time_bounds.py
@@ -180,7 +180,7 @@
         commit_while_appends_are_delayed()
 
 
-class LeaderWithCommitBound(test_lease_state.Seat):
+class LeaderWithCommitBound(test_lease_state.FakeMember):
     """A leader with a given bound on the commit time of inherited entries."""
 
     commit_bound = None
