--- a/tests/permit_case.py
+++ b/tests/permit_case.py
@@ -1,4 +1,4 @@
-"""A router that waits for permits and two keepers, one of which leads, over messages that are moved by hand."""
+"""A router that waits for permits and two keepers, one of them the leader; messages are delivered by hand."""
 
 import threading
 import types
@@ -21,7 +21,7 @@
 
 
 class Environment(all_orders.ManualEnvironment):
-    """An environment whose timers wait among the messages."""
+    """An environment whose timers are queued among the messages."""
 
     def new_event(self):
         return threading.Event()
@@ -30,30 +30,30 @@
         self.pool.waiting.append((self.address, self.address, "timer", {"call": call}))
 
 
-class Seat:
-    """A member of the tenant's part, as the duty sees it."""
+class FakeMember:
+    """A member of the tenant's part, as the leader task sees it."""
 
     part = PART
 
     def __init__(self, pool, address):
         self.environment = Environment(pool, address)
-        self.member_id, self.leader, self.last_contact, self.leads = address, "", 0.0, False
+        self.member_id, self.leader, self.last_contact, self.is_leading = address, "", 0.0, False
         self.machine, self.leader_tasks = types.SimpleNamespace(leader_entry_applied=None), []
 
     def has_quorum(self):
-        return self.leads
+        return self.is_leading
 
     def address_of(self, member_id):
         return member_id
 
 
 class LosingPool(all_orders.Pool):
-    """Loses the messages of the protocol that come first, second, ... as named."""
+    """Loses the protocol messages whose numbers, in order of delivery, are in `lost`."""
 
     def __init__(self, lost):
         super().__init__()
         self.lost, self.count = lost, 0
-        self.asked = {}  # mark -> step at which its ask was sent
+        self.sent_at = {}  # mark -> step at which the permit request was sent
         self.answer = None  # mark of the answer that was delivered last
 
     def deliver(self, at):
@@ -69,15 +69,15 @@
 
 
 class Case:
-    """What the router's requests were given, checked after each message."""
+    """The permits that the router's requests got, checked after each message."""
 
     def __init__(self, events, lost=()):
         self.pool = LosingPool(lost)
-        self.requests = []  # (step at which it came, its waiter), of the router's life that runs
-        self.granted = []  # moments
+        self.requests = []  # (step of arrival, waiter), since the router's last start
+        self.granted = []  # times
         self.seen = set()
-        self.seats = {address: Seat(self.pool, address) for address in KEEPERS}
-        self.leader_tasks = {address: self.duty(seat) for address, seat in self.seats.items()}
+        self.members = {address: FakeMember(self.pool, address) for address in KEEPERS}
+        self.leader_tasks = {address: self.make_task(member) for address, member in self.members.items()}
         self.boot_router()
         self.lead(KEEPERS[0])
         self.pool.time += 100.0  # its bucket is full
@@ -86,9 +86,9 @@
             self.pool.ears[address][("timer", None)] = lambda sender, body: body["call"]()
         self.pool.waiting += [("script", "script", "event", {"name": name}) for name in events]
 
-    def duty(self, seat):
+    def make_task(self, member):
         lease = types.SimpleNamespace(current=lambda: (1, {"tenants": {TENANT: {"rate_per_s": RATE, "burst": BURST}}}))
-        return permit_duty.PermitLeaderTask(seat, lease, journal_module.Journal(), limit_bounds.LimitBounds())
+        return permit_duty.PermitLeaderTask(member, lease, journal_module.Journal(), limit_bounds.LimitBounds())
 
     def boot_router(self):
         self.pool.ears[ROUTER] = {("timer", None): lambda sender, body: body["call"]()}
@@ -98,20 +98,20 @@
         self.router = permits.Permits(environment, leaders, journal_module.Journal())
         send = environment.send
 
-        def note(goal, kind, **body):
+        def recording_send(destination, kind, **body):
             if kind == "permit_ask":
-                self.pool.asked[body["mark"]] = self.pool.steps
-            send(goal, kind, **body)
+                self.pool.sent_at[body["mark"]] = self.pool.steps
+            send(destination, kind, **body)
 
-        environment.send = note
+        environment.send = recording_send
         self.requests = []
 
     def lead(self, address):
-        for other, seat in self.seats.items():
-            seat.leads, seat.leader, seat.last_contact = other == address, address, self.pool.time + 1000.0
+        for other, member in self.members.items():
+            member.is_leading, member.leader, member.last_contact = other == address, address, self.pool.time + 1000.0
             (self.leader_tasks[other].start if other == address else self.leader_tasks[other].stop)()
 
-    # --- what may happen ---
+    # --- events ---
     def request(self):
         waiter = permits.Waiter(self.router.environment.new_event())
         self.router.enqueue(TENANT, 1, waiter)
@@ -123,18 +123,20 @@
     def restart(self):
         self.boot_router()
 
-    # --- what must hold ---
+    # --- checks ---
     def check(self):
-        for came, waiter in self.requests:
+        for arrived_at, waiter in self.requests:
             if waiter.granted and id(waiter) not in self.seen:
                 self.seen.add(id(waiter))
                 self.granted.append(self.pool.time)
-                assert came <= self.pool.asked[self.pool.answer], "a permit whose ask went out before its request came"
+                assert arrived_at <= self.pool.sent_at[self.pool.answer], (
+                    "a permit whose permit request was sent before its request arrived"
+                )
         elapsed = self.pool.time - 200.0
         allowed = BURST + RATE * elapsed + constants.CLOCK_ROUNDING_ERROR_S
         assert len(self.granted) <= allowed, f"{len(self.granted)} granted, {allowed:.2f} allowed"
 
     def end(self):
-        for _came, waiter in self.requests:
-            assert waiter.granted or waiter.retry_s is not None, "a request waits for ever"
-        assert not any(asks.waiting for asks in self.router.parts.values())
+        for _arrived_at, waiter in self.requests:
+            assert waiter.granted or waiter.retry_s is not None, "a request waits forever"
+        assert not any(requests.waiting for requests in self.router.parts.values())
--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -1,7 +1,7 @@
-"""A part's group whose members grant permits: elections, cuts, freezes, restarts and snapshots, drawn by a number.
+"""A part's group whose members grant permits, under random elections, cuts, freezes, restarts and snapshots.
 
-Every grant of every member is noted with the moment that it counts from. `check` holds the grants of any window
-against what docs/shared.md allows, and the moments at which leaders began with a credit against the window.
+Every grant of every member is recorded with the time from which it counts. `check_grants` compares the grants of any
+window with what docs/shared.md allows, and the time between leaders that start with a credit with the window.
 """
 
 import random
@@ -16,12 +16,12 @@
 BOUNDS = limit_bounds.LimitBounds(window_s=5.0, excess=0.0, slack=4.0)
 ROW = {"rate_per_s": 3, "burst": 8}
 ROUTER = "router:1"
-ASKED = 40  # requests in an ask: more than a bucket ever holds
-EVENTS = ("cut", "heal", "heal", "freeze", "thaw", "thaw", "crash", "boot", "boot", "hand_over", "write")
+REQUESTED = 40  # requests in a permit request: more than a bucket ever holds
+EVENTS = ("cut", "heal", "heal", "freeze", "thaw", "thaw", "crash", "boot", "boot", "transfer", "write")
 
 
 class PermitRecorder(group_model.Recorder):
-    """A machine that tells of the entries with which leaders begin, as the service part's does."""
+    """A machine that reports the first entries of leaders, as the service part's does."""
 
     def __init__(self, history):
         super().__init__(history)
@@ -44,8 +44,8 @@
         return 1, {"tenants": {"a": ROW}}
 
 
-class NotingDuty(permit_duty.PermitLeaderTask):
-    """Notes what is granted, and when a leader begins with a credit."""
+class RecordingTask(permit_duty.PermitLeaderTask):
+    """Records what is granted, and when a leader starts with a credit."""
 
     group = None
 
@@ -65,23 +65,23 @@
     """The members, what they have granted, and which of them are cut off or frozen."""
 
     machine_class = PermitRecorder
-    duty_class = NotingDuty
-    duty_bounds = BOUNDS
+    task_class = RecordingTask
+    task_bounds = BOUNDS
 
     def __init__(self, size, losses, number):
         self.grants, self.credits, self.leader_tasks = [], [], {}
         self.cut, self.frozen = set(), set()
-        self.draw = random.Random(number)
+        self.random = random.Random(number)
         super().__init__(size, losses)
 
     def boot(self, name):
         super().boot(name)
-        duty = self.duty_class(self.seats[name], Lease(), journal_module.Journal(), self.duty_bounds)
-        duty.group = self
-        self.leader_tasks[name] = duty
+        task = self.task_class(self.seats[name], Lease(), journal_module.Journal(), self.task_bounds)
+        task.group = self
+        self.leader_tasks[name] = task
 
     def settle(self, span):
-        """Let time pass, step by step: all that runs works, and all that is not held up is delivered."""
+        """Advance time in steps: running members work, and messages are delivered unless held up."""
         for _ in range(round(span / STEP)):
             self.pool.time += STEP
             for name in sorted(set(self.seats) - self.frozen):
@@ -89,36 +89,36 @@
             self.deliver_all()
 
     def deliver_all(self):
-        """Deliver in order; a cut loses messages, a frozen member's wait for it."""
+        """Deliver in order; a cut loses messages, and those to a frozen member are kept."""
         held = []
         for _ in range(400):
             if not self.pool.waiting:
                 break
-            goal, sender, *_ = self.pool.waiting[0]
-            if {goal, sender} & {self.address(name) for name in self.cut}:
+            destination, sender, *_ = self.pool.waiting[0]
+            if {destination, sender} & {self.address(name) for name in self.cut}:
                 self.pool.waiting.pop(0)
-            elif goal in {self.address(name) for name in self.frozen}:
+            elif destination in {self.address(name) for name in self.frozen}:
                 held.append(self.pool.waiting.pop(0))
             else:
                 self.pool.deliver(0)
         self.pool.waiting = held + self.pool.waiting
 
-    def ask_all(self):
-        """A router asks every member that runs."""
+    def request_from_all(self):
+        """Request permits from every running member."""
         for name in sorted(set(self.seats) - self.down - self.frozen):
-            self.ask(name)
+            self.request_permits(name)
 
-    def ask(self, name):
-        """A router asks one member."""
-        body = {"mark": 1, "sequence": 1, "counts": {"a": ASKED}}
+    def request_permits(self, name):
+        """Request permits from one member."""
+        body = {"mark": 1, "sequence": 1, "counts": {"a": REQUESTED}}
         self.leader_tasks[name].on_permit_ask(ROUTER, body)
 
-    def freeze_inside_ask(self, name, span):
-        """A member is stopped just after it has found that it leads for sure; the others go on."""
+    def freeze_during_request(self, name, span):
+        """Freeze a member just after it has confirmed its majority, while the others go on."""
         seat = self.seats[name]
         if self.down | self.frozen or not seat.is_leader:
             return
-        self.ask(name)
+        self.request_permits(name)
         has_quorum = type(seat).has_quorum
 
         def quorum_then_stop():
@@ -128,18 +128,18 @@
                 self.frozen.add(name)
                 for _ in range(round(span / 0.5)):
                     self.settle(0.5)
-                    self.ask_all()
+                    self.request_from_all()
                 self.frozen.discard(name)
             return found
 
         seat.has_quorum = quorum_then_stop
-        self.ask(name)
+        self.request_permits(name)
         seat.__dict__.pop("has_quorum", None)
 
-    def trouble(self):
-        """One drawn event."""
-        name = self.draw.choice([*sorted(self.seats), *[n for n in self.seats if self.seats[n].is_leader] * 3])
-        event = self.draw.choice(EVENTS)
+    def inject_event(self):
+        """Cause one random event."""
+        name = self.random.choice([*sorted(self.seats), *[n for n in self.seats if self.seats[n].is_leader] * 3])
+        event = self.random.choice(EVENTS)
         if event == "cut":
             self.cut = {name}
         elif event == "heal":
@@ -152,28 +152,28 @@
             self.crash(name)
         elif event == "boot" and self.down:
             self.boot(min(self.down))
-        elif event == "hand_over" and name not in self.down | self.frozen:
+        elif event == "transfer" and name not in self.down | self.frozen:
             self.seats[name].transfer_leadership()
         elif event == "write":
             for _ in range(6):
                 self.propose(name)
 
     def walk(self, steps):
-        """Go on by so many steps, checking after each."""
+        """Take so many random steps, checking after each."""
         self.rest()
         for _ in range(steps):
-            self.settle(self.draw.choice((0.05, 0.2, 0.7, 1.5, 3.0)))
-            if self.draw.random() < 0.6:
-                self.trouble()
-            if self.draw.random() < 0.2:
+            self.settle(self.random.choice((0.05, 0.2, 0.7, 1.5, 3.0)))
+            if self.random.random() < 0.6:
+                self.inject_event()
+            if self.random.random() < 0.2:
                 for name in sorted(self.seats):
-                    self.freeze_inside_ask(name, self.draw.choice((0.5, 2.0, 4.0)))
-            if self.draw.random() < 0.5:
-                self.ask_all()
+                    self.freeze_during_request(name, self.random.choice((0.5, 2.0, 4.0)))
+            if self.random.random() < 0.5:
+                self.request_from_all()
             self.check_grants()
 
     def check_grants(self):
-        """The grants of every window, and the moments of credits."""
+        """Check the grants of every window and the times of credits."""
         rate, burst = ROW["rate_per_s"], ROW["burst"]
         allowed = rate * BOUNDS.window_s + burst + BOUNDS.allowance(rate, burst)
         for end, _ in self.grants[-40:]:
--- a/tests/test_bad_replica_answers.py
+++ b/tests/test_bad_replica_answers.py
@@ -1,4 +1,4 @@
-"""Streams and memory handles of replicas that are cut short, malformed or another request's."""
+"""Streams and handles from replicas that are cut short, malformed or belong to another request."""
 
 import copy
 import types
@@ -18,11 +18,11 @@
 
 def stream(lines):
     response = types.SimpleNamespace(lines=lambda: iter(lines), close=lambda: None)
-    place = types.SimpleNamespace(name="r")
-    return list(replica_adapter.Stream(types.SimpleNamespace(now=lambda: 0.0), "a1", place, response, 5.0))
+    endpoint = types.SimpleNamespace(name="r")
+    return list(replica_adapter.Stream(types.SimpleNamespace(now=lambda: 0.0), "a1", endpoint, response, 5.0))
 
 
-def test_a_whole_stream_is_read():
+def test_a_complete_stream_is_read():
     assert stream(GOOD) == [("x ", None), ("y ", "stop")]
 
 
@@ -45,7 +45,7 @@
         [],
     ],
 )
-def test_a_stream_that_is_not_whole_or_not_ours_is_never_a_success(lines):
+def test_an_incomplete_or_foreign_stream_is_never_a_success(lines):
     with pytest.raises(verdict.SendFailure) as failure:
         stream(lines)
     assert failure.value.verdict is verdict.Verdict.MAY_HAVE_RUN
@@ -72,14 +72,14 @@
         lambda s: s.update(kv_transfer_params=[]),
     ],
 )
-def test_a_handle_that_is_missing_or_foreign_is_not_taken(spoil):
-    said = {"id": "cmpl-a1", "kv_transfer_params": copy.deepcopy(HANDLE)}
+def test_a_missing_or_foreign_handle_is_rejected(spoil):
+    answer = {"id": "cmpl-a1", "kv_transfer_params": copy.deepcopy(HANDLE)}
     request = types.SimpleNamespace(id="a1", body={}, path="/v1/completions", caller=caller.Caller())
-    place = types.SimpleNamespace(name="r", url="http://r", engine="e")
-    web = types.SimpleNamespace(send=lambda *a, **k: types.SimpleNamespace(status=200, body=lambda: said))
+    endpoint = types.SimpleNamespace(name="r", url="http://r", engine="e")
+    web = types.SimpleNamespace(send=lambda *a, **k: types.SimpleNamespace(status=200, body=lambda: answer))
     environment = types.SimpleNamespace(now=lambda: 0.0, web=web)
-    assert replica_adapter.prefill(environment, request, "a1", place, 1, 1.0, None).params["remote_block_ids"] == [1]
-    spoil(said)
+    assert replica_adapter.prefill(environment, request, "a1", endpoint, 1, 1.0, None).params["remote_block_ids"] == [1]
+    spoil(answer)
     with pytest.raises(verdict.SendFailure) as failure:
-        replica_adapter.prefill(environment, request, "a1", place, 1, 1.0, None)
+        replica_adapter.prefill(environment, request, "a1", endpoint, 1, 1.0, None)
     assert failure.value.verdict is verdict.Verdict.MAY_HAVE_RUN
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -1,4 +1,4 @@
-"""A process that has no list of replicas yet finds the one that reads it for all, without waiting a whole interval."""
+"""A process without a list of replicas finds the process that reads it for all, without waiting a whole interval."""
 
 import contextlib
 import types
@@ -13,7 +13,7 @@
 
 
 class TimedEnvironment(all_orders.ManualEnvironment):
-    """An environment by hand that notes after what delay the next call is due."""
+    """A manual environment that records the delay of the next call."""
 
     def call_later(self, delay, call):
         self.delay = delay
@@ -35,7 +35,7 @@
     return types.SimpleNamespace(pool=pool, environment=environment, listed=found)
 
 
-def test_it_is_asked_for_soon_until_it_is_here(process):
+def test_the_list_is_requested_at_short_intervals_until_it_is_received(process):
     process.listed.tick()
     assert process.environment.delay <= 1.1 * constants.INITIAL_LIST_REQUEST_INTERVAL_S
     process.listed.on_list_news("b:1", news(d1={**ROW, "role": "decode", "slots": 8}))
@@ -43,15 +43,15 @@
     assert process.environment.delay >= 0.9 * constants.LIST_REQUEST_INTERVAL_S
 
 
-def test_a_process_whose_first_keeper_is_dead_has_it_within_half_a_second(process):
-    """Asks go to each keeper in turn; one that follows the reader names it, and that one is asked next."""
+def test_a_process_whose_first_keeper_is_dead_gets_the_list_within_half_a_second(process):
+    """Requests go to each keeper in turn; one that knows the leader names it, and the next request goes there."""
     waited, replicas = 0.0, {"d1": {**ROW, "role": "decode", "slots": 8}}
     while not process.listed.rows:
         process.listed.tick()
-        for goal, _sender, kind, _body in process.pool.waiting:
-            if kind == "list_ask" and goal == "b:1":
+        for destination, _sender, kind, _body in process.pool.waiting:
+            if kind == "list_ask" and destination == "b:1":
                 process.listed.leaders.on_look_elsewhere("b:1", {"part": 1, "leader": "c:1"})
-            if kind == "list_ask" and goal == "c:1":
+            if kind == "list_ask" and destination == "c:1":
                 process.listed.on_list_news("c:1", news(**replicas))
         process.pool.waiting.clear()
         waited += process.environment.delay
@@ -60,30 +60,30 @@
 
 
 class LateList:
-    """A list that answers after LIST_READ_TIMEOUT_S without a word, so many times, and then at once."""
+    """A list whose first so many readings fail after LIST_READ_TIMEOUT_S; further ones succeed at once."""
 
-    def __init__(self, pool, silent, fault):
-        self.pool, self.silent, self.fault = pool, silent, fault
+    def __init__(self, pool, timeouts, fault):
+        self.pool, self.timeouts, self.fault = pool, timeouts, fault
 
     def rows(self, environment, url):
-        if self.silent:
-            self.silent -= 1
+        if self.timeouts:
+            self.timeouts -= 1
             self.pool.time += constants.LIST_READ_TIMEOUT_S
             raise self.fault
         return {"d1": {**ROW, "role": "decode", "slots": 8}}
 
 
 @pytest.mark.parametrize("fault", [web.WebFault("timed out", True), RuntimeError("no thread can be started")])
-@pytest.mark.parametrize("silent", [0, 1, 3])
-def test_a_process_that_nobody_tells_the_list_reads_it_until_it_answers(process, silent, fault):
-    """The first reading is due within two spans of silence, each further one within an interval of asking."""
+@pytest.mark.parametrize("timeouts", [0, 1, 3])
+def test_a_process_that_receives_no_list_reads_it_until_that_succeeds(process, timeouts, fault):
+    """The first reading is due within two times LIST_MAX_AGE_S, each further one within a request interval."""
     reads = []
     process.environment.spawn = reads.append
-    process.listed.speech = LateList(process.pool, silent, fault)
+    process.listed.speech = LateList(process.pool, timeouts, fault)
     interval = 1.1 * constants.INITIAL_LIST_REQUEST_INTERVAL_S
     bound = (
         2 * constants.LIST_MAX_AGE_S
-        + silent * (constants.LIST_READ_TIMEOUT_S + constants.LIST_REQUEST_INTERVAL_S + interval)
+        + timeouts * (constants.LIST_READ_TIMEOUT_S + constants.LIST_REQUEST_INTERVAL_S + interval)
         + 2 * interval
     )
     end = process.pool.time + bound
@@ -92,5 +92,5 @@
         process.listed.tick()
         process.pool.time += process.environment.delay
         while reads:
-            with contextlib.suppress(RuntimeError):  # a task that fails is noted, nothing more
+            with contextlib.suppress(RuntimeError):  # a failed task is only logged
                 reads.pop()()
--- a/tests/test_leaving_writer.py
+++ b/tests/test_leaving_writer.py
@@ -1,4 +1,4 @@
-"""A replica that begins to leave while a prompt is being read gets no send that was planned before."""
+"""A replica that starts to leave during a prefill gets no send that was planned before."""
 
 import pytest
 
@@ -13,7 +13,7 @@
 
 
 def leave_during_prefill(site, reader, leaver):
-    """The leaver is shown as leaving, and known to be, before the reader's answer goes out."""
+    """Show a replica as leaving, and let the router notice, before the prefill replica's answer is sent."""
     take = reader.take
 
     def taken(conn, request, fault):
@@ -24,7 +24,7 @@
     reader.take = taken
 
 
-def test_the_handle_goes_to_another_writer_and_its_prompt_is_not_read_again(site):
+def test_the_handle_goes_to_another_decode_replica_without_a_second_prefill(site):
     host, (reader, *writers) = site.service("pdd")
     taken = []
     choose = site.router.placing.writer
@@ -42,7 +42,7 @@
     platform_site.until(lambda: not any(site.router.replicas.own_requests.values()))
 
 
-def test_with_no_other_writer_the_request_is_refused_and_its_handle_freed(site):
+def test_without_another_decode_replica_the_request_is_rejected_and_its_handle_released(site):
     host, (reader, writer) = site.service("pd")
     leave_during_prefill(site, reader, writer)
     own, answer = site.ask(host)
--- a/tests/test_load_sums.py
+++ b/tests/test_load_sums.py
@@ -1,4 +1,4 @@
-"""The sums of what routers report: what adding them all up anew would give, at a cost that others do not raise."""
+"""The sums of load reports: equal to a full recomputation, at a cost independent of the number of routers."""
 
 import hypothesis
 import hypothesis.strategies as strategies
@@ -23,43 +23,43 @@
 )
 ROUTERS, REPLICAS = ("r:1", "r:2", "r:3", "r:4"), ("a", "b", "c")
 STEP = strategies.tuples(
-    strategies.sampled_from([0.0, 0.25, 1.0]),  # s that pass before
+    strategies.sampled_from([0.0, 0.25, 1.0]),  # seconds that pass before
     strategies.sampled_from(ROUTERS),
     strategies.dictionaries(strategies.sampled_from(REPLICAS), LOAD),
 )
 
 
-def added_up(reports, now, but):
-    """The sums as adding up every report anew gives them."""
+def recomputed(reports, now, except_router):
+    """Return the sums by adding up every report."""
     total = {}
     for sender, (at, loads) in reports.items():
-        if sender != but and now - at < constants.LOAD_TTL_S:
+        if sender != except_router and now - at < constants.LOAD_TTL_S:
             for name, load in loads.items():
                 total.setdefault(name, replica_load.ReplicaLoad()).add(load, now - at)
     return total
 
 
-def numbers(loads):
-    """What of the sums counts: rows in which there is anything."""
+def nonzero_rows(loads):
+    """Return the rows that aren't all zero."""
     return {name: pytest.approx(load.to_wire()) for name, load in loads.items() if load.has_values()}
 
 
 @STEADY
 @hypothesis.given(strategies.lists(STEP, max_size=20))
-def test_the_sums_are_those_of_adding_up_anew(steps):
+def test_the_incremental_sums_equal_a_full_recomputation(steps):
     clock, reports = [100.0], {}
     sums = load_sums.LoadSums(lambda: clock[0])
     for span, sender, loads in steps:
         clock[0] += span
         sums.record(sender, loads)
         reports[sender] = (clock[0], loads)
-        for but in ("", *ROUTERS):
-            found = {name: load for name, load in sums.totals_without(but).items() if load.has_values()}
-            expected = numbers(added_up(reports, clock[0], but))
+        for except_router in ("", *ROUTERS):
+            found = {name: load for name, load in sums.totals_without(except_router).items() if load.has_values()}
+            expected = nonzero_rows(recomputed(reports, clock[0], except_router))
             assert {name: load.to_wire() for name, load in found.items()} == expected
 
 
-def test_nothing_is_left_of_routers_that_fell_silent():
+def test_nothing_remains_of_routers_that_stopped_reporting():
     clock = [100.0]
     sums = load_sums.LoadSums(lambda: clock[0])
     sums.record("r:1", {"a": replica_load.ReplicaLoad(3, 0.5, answered=0.1)})
@@ -70,12 +70,12 @@
 
 @pytest.mark.parametrize("routers", [50, 400])
 def test_a_report_costs_the_same_however_many_routers_there_are(routers, monkeypatch):
-    sums, shifts = load_sums.LoadSums(lambda: 100.0), []
+    sums, calls = load_sums.LoadSums(lambda: 100.0), []
     own = {name: replica_load.ReplicaLoad(1) for name in REPLICAS}
     for number in range(routers):
         sums.record(f"r:{number}", own)
     real = load_sums.add_scaled
-    monkeypatch.setattr(load_sums, "add_scaled", lambda *rest: (shifts.append(1), real(*rest)))
+    monkeypatch.setattr(load_sums, "add_scaled", lambda *rest: (calls.append(1), real(*rest)))
     sums.record("r:0", own)
     assert sums.totals_without("r:0")["a"].requests == routers - 1
-    assert len(shifts) == 3 * len(REPLICAS)  # the last report out, this one in, and off the reply
+    assert len(calls) == 3 * len(REPLICAS)  # removes the last report, adds this one, subtracts it for the reply
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -1,4 +1,4 @@
-"""The last check of an order to a replica: what stops it between its decision and its write, and what does not."""
+"""The last check before an order is written to a replica: what stops the order after its planning, and what doesn't."""
 
 import types
 
@@ -10,36 +10,36 @@
 import tests.platform_site as platform_site
 
 
-def order_through(change):
-    """Whether an order is written if `change(group)` happens between its first check and its write."""
+def writes_after(change):
+    """Return what is written if `change(group)` happens between an order's first check and its write."""
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
     group.seats["A"].renew()
-    duty = group.leader_tasks["A"]
+    task = group.leader_tasks["A"]
 
-    def order_role(environment, place, role, standing, holder, sequence, ready):
+    def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready):
         change(group)
         if not ready():
             raise web.WebFault(web.NOT_READY, False)
-        written.append((holder, standing))
+        written.append((leader_id, fencing_token))
         return True
 
-    duty.order_role = order_role
-    place_replica(group, duty)
-    duty.send_order("r-1", "http://r:1", "decode", duty.fencing_token)
+    task.order_role = order_role
+    add_replica(group, task)
+    task.send_order("r-1", "http://r:1", "decode", task.fencing_token)
     return written
 
 
-def place_replica(group, duty):
-    """One replica of the pool, which the part has agreed is to write."""
-    duty.journal = types.SimpleNamespace(add=lambda *words, **more: None)
+def add_replica(group, task):
+    """Add one replica of the pool, to which the part has assigned the decode role."""
+    task.journal = types.SimpleNamespace(add=lambda *words, **more: None)
     row = {"url": "http://r:1", "service": "main", "labels": {"service": "main"}}
-    duty.replicas = types.SimpleNamespace(conditions={}, rows={"r-1": row})
-    agree(group, "decode")
+    task.replicas = types.SimpleNamespace(conditions={}, rows={"r-1": row})
+    commit_role(group, "decode")
 
 
-def agree(group, role):
+def commit_role(group, role):
     group.commit({"op": "roles", "standing": group.leader_tasks["A"].fencing_token, "roles": {"r-1": role}, "gone": []})
 
 
@@ -52,10 +52,10 @@
 
 def led_by(*others):
     def change(group):
-        for who in others:
+        for member_id in others:
             group.freeze("A")
             group.pool.time += constants.VOTE_WITHHOLD_S
-            group.lead(who)
+            group.lead(member_id)
         group.frozen.clear()
 
     return change
@@ -76,32 +76,32 @@
         (lambda group: group.leader_tasks["A"].lease.change(main={"selector": {"service": "other"}}), False),
         (lambda group: group.leader_tasks["A"].lease.pools.clear(), False),
         (lambda group: setattr(group.leader_tasks["A"].lease, "number", None), False),
-        (lambda group: agree(group, "prefill"), False),
+        (lambda group: commit_role(group, "prefill"), False),
         (lambda group: group.leader_tasks["A"].replicas.rows.clear(), False),
     ],
     ids=[
         "at once",
         "a little later",
-        "the hold",
+        "the vote withholding time",
         "frozen",
-        "one change",
-        "two changes",
-        "handed",
+        "one new leader",
+        "two new leaders",
+        "leadership transferred",
         "newer",
         "newer with another pool",
         "newer without its replica",
         "newer without its pool",
         "no lease",
-        "another role agreed",
+        "another role committed",
         "no longer listed",
     ],
 )
-def test_the_last_check_comes_when_the_connection_stands(change, written):
-    assert order_through(change) == ([("A", 1)] if written else [])
+def test_the_last_check_runs_once_the_connection_is_open(change, written):
+    assert writes_after(change) == ([("A", 1)] if written else [])
 
 
 class NoticeEnvironment:
-    """An environment on which tasks run at once, and every pause moves the clock and changes the configuration."""
+    """An environment that runs tasks at once; every sleep advances the clock and changes the configuration."""
 
     def __init__(self, group, changes):
         self.group, self.changes = group, changes
@@ -117,18 +117,18 @@
         self.changes()
 
 
-def test_an_order_goes_out_though_the_configuration_changes_all_the_while():
-    """Each change leaves the pool alone; the notice that routers get takes longer than two changes are apart."""
+def test_an_order_is_sent_while_the_configuration_keeps_changing():
+    """Each change leaves the pool as it is, and changes are more frequent than the notice to routers takes."""
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
     group.seats["A"].renew()
-    duty = group.leader_tasks["A"]
-    duty.environment = NoticeEnvironment(group, duty.lease.change)
-    place_replica(group, duty)
-    duty.load_task = types.SimpleNamespace(changing_until={})
-    duty.order_role = lambda environment, place, role, *rest: rest[-1]() and bool(written.append(role)) is False
-    duty.start_order("r-1", "decode")
+    task = group.leader_tasks["A"]
+    task.environment = NoticeEnvironment(group, task.lease.change)
+    add_replica(group, task)
+    task.load_task = types.SimpleNamespace(changing_until={})
+    task.order_role = lambda environment, endpoint, role, *rest: rest[-1]() and bool(written.append(role)) is False
+    task.start_order("r-1", "decode")
     assert written == ["decode"]
 
 
@@ -136,11 +136,11 @@
     site = platform_site.Site()
     try:
         host, (replica,) = site.service("p")
-        order, place = site.router.speech.order_role, site.router.replicas.endpoint(replica.name)
+        order, endpoint = site.router.speech.order_role, site.router.replicas.endpoint(replica.name)
         with pytest.raises(web.WebFault):
-            order(site.environment, place, "decode", 41, "k1", 3, lambda: False)
+            order(site.environment, endpoint, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
-        assert order(site.environment, place, "decode", 41, "k1", 3, lambda: True)
+        assert order(site.environment, endpoint, "decode", 41, "k1", 3, lambda: True)
         assert [row["fence_no"] for row in replica.orders] == [41]
     finally:
         site.stop()
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""All orders of a few messages: votes, wiped voters, writes, leases, standings, memory."""
+"""All orders of a few messages: votes, wiped voters, writes, leases, fencing tokens, exported memory."""
 
 import random
 import types
@@ -14,28 +14,28 @@
 import tests.all_orders as all_orders
 import tools.replica_memory as replica_memory
 
-WHO = {"A": "a:1", "B": "b:1", "C": "c:1"}
+ADDRESSES = {"A": "a:1", "B": "b:1", "C": "c:1"}
 
 
-def group(pool, entries, names="ABC", marks="111"):
+def make_group(pool, entries, names="ABC", marks="111"):
     """Members with these logs; entries: name -> list of (index, term, command)."""
-    seats = {n + "/1": {"address": WHO[n], "http": ""} for n in "ABC"}
-    birth = {"i": 1, "t": 0, "c": {"op": "members", "members": seats}}
+    seats = {n + "/1": {"address": ADDRESSES[n], "http": ""} for n in "ABC"}
+    bootstrap = {"i": 1, "t": 0, "c": {"op": "members", "members": seats}}
     found = {}
     for name, mark in zip(names, marks, strict=False):
         disk = all_orders.disk()
-        rows = [birth] + [{"i": i, "t": t, "c": c} for i, t, c in entries.get(name, [])]
+        rows = [bootstrap] + [{"i": i, "t": t, "c": c} for i, t, c in entries.get(name, [])]
         if mark == "1":
             log = member_module.disk_log.PartLog(disk, 0)
             log.put_term(max(r["t"] for r in rows), "")
             log.put(rows)
         seat = member_module.Member(
-            all_orders.ManualEnvironment(pool, WHO[name]),
+            all_orders.ManualEnvironment(pool, ADDRESSES[name]),
             disk,
             0,
             f"{name}/{mark}",
             "",
-            WHO.values(),
+            ADDRESSES.values(),
             config_machine.ConfigMachine(),
         )
         seat.start()
@@ -43,7 +43,7 @@
     return found
 
 
-def one_owner_a_term(seats):
+def check_one_leader_per_term(seats):
     leaders = [s.log.term for s in seats.values() if s.is_leader]
     assert len(leaders) == len(set(leaders))
 
@@ -52,20 +52,20 @@
 def test_two_candidates_never_both_win_one_term(pair, pre_vote):
     def make():
         pool = all_orders.Pool()
-        seats = group(pool, {})
+        seats = make_group(pool, {})
         pool.time += 10
         for name in pair:
             seats[name].start_election(pre_vote=pre_vote)
         return pool, seats
 
-    assert all_orders.explore(make, one_owner_a_term, 6) > 500
+    assert all_orders.explore(make, check_one_leader_per_term, 6) > 500
 
 
 @pytest.mark.parametrize("names", ["AB", "BC", "ABC"])
-def test_survivors_that_stand_at_one_moment_elect_one_of_them_in_the_first_round(names):
+def test_survivors_that_start_elections_at_once_elect_a_leader_in_the_first_round(names):
     def make():
         pool = all_orders.Pool()
-        seats = group(pool, {}, names)
+        seats = make_group(pool, {}, names)
         pool.time += 10
         for seat in seats.values():
             seat.start_election(pre_vote=True)
@@ -76,15 +76,15 @@
         assert {s.log.term for s in seats.values()} <= ({1} if len(names) == 2 else {1, 2})
 
     depth = 10 if len(names) == 2 else 6
-    assert all_orders.explore(make, one_owner_a_term, depth, lines=True, end=end) > 50
+    assert all_orders.explore(make, check_one_leader_per_term, depth, lines=True, end=end) > 50
 
 
-def test_a_wiped_member_never_votes_a_stale_one_in():
-    """A and C acknowledged entry 2; C comes back empty. B, without it, must not win."""
+def test_a_wiped_member_never_elects_a_stale_member():
+    """A and C acknowledged entry 2, and C lost its disk. B lacks the entry and must not win with C's vote."""
 
     def make():
         pool = all_orders.Pool()
-        seats = group(pool, {"A": [(2, 1, {"op": "note"})]}, "BC", "12")
+        seats = make_group(pool, {"A": [(2, 1, {"op": "note"})]}, "BC", "12")
         pool.time += 10
         seats["C"].send_join_requests(pool.time)
         seats["B"].start_election(pre_vote=True)
@@ -100,21 +100,21 @@
     assert all_orders.explore(make, check, 4) > 100
 
 
-def test_a_group_is_born_only_when_all_are_empty():
+def test_a_group_is_bootstrapped_only_if_all_members_are_empty():
     def make():
         pool = all_orders.Pool()
-        seats = group(pool, {}, "ABC", "222")
+        seats = make_group(pool, {}, "ABC", "222")
         for seat in seats.values():
             seat.send_join_requests(pool.time)
         return pool, seats
 
     def check(seats):
-        births = [tuple(sorted(s.members)) for s in seats.values() if s.members]
-        assert set(births) <= {("A/2", "B/2", "C/2")}
+        bootstraps = [tuple(sorted(s.members)) for s in seats.values() if s.members]
+        assert set(bootstraps) <= {("A/2", "B/2", "C/2")}
 
     assert all_orders.explore(make, check, 3) > 50
     pool, seats = all_orders.Pool(), None
-    seats = group(pool, {}, "ABC", "122")  # one is not empty: nobody is born
+    seats = make_group(pool, {}, "ABC", "122")  # one member isn't empty, so there is no bootstrap
     for _turn in range(3):
         pool.time += 1
         for seat in seats.values():
@@ -126,17 +126,17 @@
 
 def test_of_racing_writes_exactly_one_wins_in_any_order():
     rows = [{"op": "stage", "base": 0, "doc": {"n": n}, "by": "", "id": f"w{n}"} for n in range(3)]
-    rows.append(dict(rows[0]))  # the same write sent again
+    rows.append(dict(rows[0]))  # the same write, repeated
     for order in all_orders.orders(rows):
         machine = config_machine.ConfigMachine()
-        said = [(r["id"], machine.apply(n + 1, r)) for n, r in enumerate(order)]
+        answers = [(r["id"], machine.apply(n + 1, r)) for n, r in enumerate(order)]
         winner = order[0]["id"]
-        assert all(answer == ({"sequence": 1} if name == winner else {"conflict": 1}) for name, answer in said)
+        assert all(answer == ({"sequence": 1} if name == winner else {"conflict": 1}) for name, answer in answers)
         assert machine.latest == 1 and machine.docs[1]["id"] == winner
 
 
-class Seat:
-    """The duty's leader, always sure: commits at once unless told to hold."""
+class FakeLeader:
+    """A leader as its task sees it, with a confirmed majority; it commits at once."""
 
     def __init__(self, environment):
         self.environment, self.machine, self.leader_tasks = environment, config_machine.ConfigMachine(), []
@@ -152,16 +152,16 @@
         return self.environment.now() + lease_s + constants.LEASE_CLOCK_MARGIN_S
 
     def not_committed_before(self, index):
-        return None  # nothing is known of another leader's time
+        return None  # no time of another leader is known
 
 
-def test_stage_activate_and_lapse_in_any_order():
-    """However records, losses and time fall: once a document is active, no older lease outlasts SHORT_LEASE_S."""
+def test_staging_activation_and_lease_expiry_in_any_order():
+    """Once a document is active, no older lease lasts longer than SHORT_LEASE_S, in any order of events."""
     acts = ["stage", "deliver", "deliver", "lose", "wait-long", "ask", "wait-short", "deliver"]
     seen = set()
     for order in sorted(set(all_orders.orders(acts))):
         pool = all_orders.Pool()
-        duty = config_leader_task.ConfigLeaderTask(Seat(all_orders.ManualEnvironment(pool, "a:1")))
+        duty = config_leader_task.ConfigLeaderTask(FakeLeader(all_orders.ManualEnvironment(pool, "a:1")))
         lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
         duty.member.machine.apply(0, stage(0))
         duty.member.machine.active = 1
@@ -197,29 +197,29 @@
     return {"op": "stage", "base": base, "doc": {"n": base}, "by": "", "id": f"w{base}"}
 
 
-def test_a_standing_only_rises_whatever_order_its_orders_come_in():
+def test_a_replica_accepts_only_rising_fencing_tokens_in_any_order_of_arrival():
     machine = service_part.ServiceMachine()
     sent = [(machine.apply(n, {"op": "take", "who": who})["standing"], who) for n, who in enumerate("ABA")]
     assert [s for s, w in sent] == [1, 2, 3]
     for order in all_orders.orders([(s, w, role) for s, w in sent for role in ("prefill", "decode")]):
-        memory = memory_of()
-        best = 0
-        for standing, who, role in order:
-            taken = memory.order(role, standing, who, 1)
-            assert taken == (standing >= best)
-            best = max(best, standing)
+        memory = make_memory()
+        highest = 0
+        for token, leader, role in order:
+            accepted = memory.order(role, token, leader, 1)
+            assert accepted == (token >= highest)
+            highest = max(highest, token)
 
 
-def memory_of():
+def make_memory():
     environment = types.SimpleNamespace(now=lambda: environment.time, time=0.0, random=random.Random(1))
     memory = replica_memory.Memory(environment, "r")
     memory.test_environment = environment
     return memory
 
 
-def test_free_pull_lapse_and_a_second_export_in_any_order():
+def test_release_pull_expiry_and_a_second_export_in_any_order():
     for order in all_orders.orders(["pull", "free", "lapse", "again", "foreign"]):
-        memory = memory_of()
+        memory = make_memory()
         blocks = memory.export("q", "first prompt")
         digest, alive = replica_memory.digest_of("first prompt"), True
         for act in order:
@@ -233,7 +233,7 @@
                 memory.test_environment.time += replica_memory.HOLD + 1
                 memory.lapse()
                 alive = False
-            elif act == "again":  # the same request exported anew: the old handle is worth nothing
+            elif act == "again":  # a second export of the same request invalidates the first handle
                 memory.export("q", "second prompt")
                 alive = False
             else:
--- a/tests/test_permit_days.py
+++ b/tests/test_permit_days.py
@@ -1,4 +1,4 @@
-"""Limits over a simulated fleet whose keepers and routers die, freeze and come back: held, and refused no sooner."""
+"""Limits in a simulated fleet whose keepers and routers die and restart: never exceeded, no early rejections."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 WINDOWS_S = (0.5, 1.0, 5.0)
 
 
-def troubled(found, trouble):
-    """Let the trouble come in the middle of the load."""
+def schedule_trouble(found, trouble):
+    """Schedule the failures in the middle of the load."""
     fleet = found.fleet
     leader = fleet.leader(permit_fleet.PART)
     if trouble == "leader dies":
@@ -31,10 +31,10 @@
 @pytest.mark.parametrize("trouble", ["none", "leader dies", "leaders die in turn", "all keepers die", "routers die"])
 def test_a_tenant_far_over_its_limit_never_exceeds_it(trouble):
     found = permit_fleet.PermitFleet(f"limit-{trouble}", RATE, BURST, routers=4)
-    troubled(found, trouble)
+    schedule_trouble(found, trouble)
     found.load(8 * RATE, 10.0)
-    found.fleet.run(10.0 + permit_fleet.PATIENCE)
-    assert max(found.most_over(window_s) for window_s in WINDOWS_S) <= 0
+    found.fleet.run(10.0 + permit_fleet.WAIT_TIMEOUT_S)
+    assert max(found.max_excess(window_s) for window_s in WINDOWS_S) <= 0
     assert found.count(200) > 4 * RATE and found.count(429) > 0
 
 
@@ -42,5 +42,5 @@
     rate = 2 * RATE
     found = permit_fleet.PermitFleet("below", rate, BURST, routers=8)
     found.load(0.9 * rate, 30.0)
-    found.fleet.run(30.0 + permit_fleet.PATIENCE)
+    found.fleet.run(30.0 + permit_fleet.WAIT_TIMEOUT_S)
     assert found.count(200) == len(found.rows) >= 1000
--- a/tests/test_permit_faults.py
+++ b/tests/test_permit_faults.py
@@ -1,4 +1,4 @@
-"""A router's permits when asking fails, and when a leader answers by an older document."""
+"""A router's permits when a permit request fails, and when a leader answers under an older document."""
 
 import threading
 
@@ -16,7 +16,7 @@
 
 
 class Router:
-    """Permits of one router whose environment is moved by hand."""
+    """Permits of one router whose environment is driven by hand."""
 
     def __init__(self):
         self.pool = all_orders.Pool()
@@ -24,10 +24,10 @@
         self.leaders = leaders.Leaders(self.environment, lambda: [KEEPER])
         self.permits = permits.Permits(self.environment, self.leaders, journal_module.Journal())
 
-    def asks(self):
-        return [body for _goal, _sender, kind, body in self.pool.waiting if kind == "permit_ask"]
+    def permit_requests(self):
+        return [body for _destination, _sender, kind, body in self.pool.waiting if kind == "permit_ask"]
 
-    def enter(self):
+    def enqueue(self):
         waiter = permits.Waiter(threading.Event())
         self.permits.enqueue("a", 2, waiter)
         return waiter
@@ -38,34 +38,34 @@
     return Router()
 
 
-def test_permits_are_asked_for_anew_though_the_first_ask_failed_before_it_was_sent(router, monkeypatch):
+def test_a_permit_request_is_repeated_after_the_first_one_failed_before_it_was_sent(router, monkeypatch):
     def fail(part):
         raise KeyError("keeper:9")
 
     with monkeypatch.context() as patched:
         patched.setattr(router.leaders, "address_for", fail)
         with pytest.raises(KeyError):
-            router.enter()
-    assert router.asks() == []
+            router.enqueue()
+    assert router.permit_requests() == []
     router.environment.timers[-1]()
-    assert [row["counts"] for row in router.asks()] == [{"a": 1}]
+    assert [row["counts"] for row in router.permit_requests()] == [{"a": 1}]
 
 
-def test_a_refusal_by_an_older_document_binds_no_request_under_the_newer(router):
-    waiter = router.enter()
-    (ask,) = router.asks()
-    body = {"part": ask["part"], "mark": ask["mark"], "sequence": 1, "grants": {"a": [0, 50.0]}}
+def test_a_rejection_under_an_older_document_does_not_apply_under_a_newer_one(router):
+    waiter = router.enqueue()
+    (request,) = router.permit_requests()
+    body = {"part": request["part"], "mark": request["mark"], "sequence": 1, "grants": {"a": [0, 50.0]}}
     router.permits.on_permits(KEEPER, body)
     assert waiter.retry_s == 50.0
     router.permits.refuse_before_next_token("a", 2)
     with pytest.raises(verdict.Rejection):
         body["mark"], body["sequence"] = router.permits.mark + 1, 2
-        router.enter()
+        router.enqueue()
         router.permits.on_permits(KEEPER, body)
         router.permits.refuse_before_next_token("a", 2)
 
 
-def test_keepers_are_listed_while_another_thread_forgets_one():
+def test_keepers_are_listed_while_another_thread_removes_one():
     node = gossip.Gossip.__new__(gossip.Gossip)
     node.environment, node.seeds = all_orders.ManualEnvironment(all_orders.Pool(), "router:1"), ["keeper:9"]
 
--- a/tests/test_permit_links.py
+++ b/tests/test_permit_links.py
@@ -1,4 +1,4 @@
-"""Permits over links whose round trip is longer than the pause before an ask is made anew."""
+"""Permits over links whose round trip is longer than the delay before a permit request is repeated."""
 
 import pytest
 
@@ -13,5 +13,5 @@
     found = permit_fleet.PermitFleet("links", RATE, BURST, routers=4)
     monkeypatch.setattr(network, "LOW", one_way_s)
     found.load(0.9 * RATE, 20.0)
-    found.fleet.run(20.0 + permit_fleet.PATIENCE)
+    found.fleet.run(20.0 + permit_fleet.WAIT_TIMEOUT_S)
     assert found.count(200) >= 0.99 * len(found.rows) > 300
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -1,4 +1,4 @@
-"""Limits of tenants on the platform: a real keeper counts, a real router asks, over real sockets."""
+"""Limits of tenants on the platform, with a keeper and a router over real sockets."""
 
 import concurrent.futures
 import json
@@ -26,7 +26,7 @@
 
 
 def put(door, **limits):
-    """Put a configuration and wait until the router serves by it."""
+    """Put a configuration and wait until the router uses it."""
     base = door.latest()
     assert door.put(platform_door.document(base + 1, senders=senders(**limits)), base).status == 200
     platform_site.until(lambda: door.router.lease.sequence() == base + 1)
@@ -48,14 +48,14 @@
 
 def test_quota_a_tenant_is_served_its_burst_and_then_its_rate(door):
     put(door, rate_per_s=2, surge=4)
-    time.sleep(2.5)  # the bucket of a leader that has just begun fills at the rate
+    time.sleep(2.5)  # the bucket of a new leader fills at the rate
     began = time.monotonic()
-    said = statuses(door, KEY, CALLS)
-    assert set(said) == {200, 429} and said.count(200) >= 4
-    assert len(door.replica.asked) == said.count(200) <= 4 + 2 * (time.monotonic() - began)
+    answered = statuses(door, KEY, CALLS)
+    assert set(answered) == {200, 429} and answered.count(200) >= 4
+    assert len(door.replica.asked) == answered.count(200) <= 4 + 2 * (time.monotonic() - began)
 
 
-def test_a_tenant_over_its_limit_is_told_when_its_next_token_comes(door):
+def test_a_tenant_over_its_limit_gets_the_time_of_its_next_token(door):
     put(door, rate_per_s=0.5, surge=0)
     refused = [answer for answer in (call(door, KEY) for _ in range(4)) if answer.status == 429][-1]
     wait_s = float(refused.headers["Retry-After"])
@@ -64,7 +64,7 @@
     assert call(door, KEY).status == 200
 
 
-def test_the_condition_of_a_keeper_names_the_tenants_that_were_refused(door):
+def test_the_condition_of_a_keeper_names_the_tenants_that_were_rejected(door):
     put(door, rate_per_s=0.5, surge=1)
     statuses(door, KEY, CALLS)
     statuses(door, OTHER_KEY, CALLS)
@@ -79,7 +79,7 @@
     assert statuses(door, OTHER_KEY, CALLS) == [200] * CALLS
 
 
-def test_a_limit_that_is_taken_away_binds_no_more(door):
+def test_a_removed_limit_no_longer_applies(door):
     put(door, rate_per_s=0.1, surge=0)
     statuses(door, KEY, CALLS)
     put(door)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Rare changes of state are written as they happen, within an allowance, and counters while they change."""
+"""Rare state changes are written at once, within a rate limit, and counters while they change."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def written(tmp_path, monkeypatch):
-    """Read what was written so far, as rows."""
+    """Return a function that reads the rows written so far."""
     path = tmp_path / "ring"
     path.touch()
     monkeypatch.setattr(log_buffer, "STATE", {"path": str(path), "last": -1e9, "name": "keep-1", "on": True})
@@ -31,7 +31,7 @@
     assert written() == [{"message_type": "part_led", "part": 2, "process": "keep-1"}]
 
 
-def test_reports_beyond_the_allowance_wait_in_memory_until_something_goes_wrong(written):
+def test_reports_beyond_the_rate_limit_stay_in_memory_until_a_failure(written):
     for part in range(4):
         log_buffer.report("part_led", part=part)
     assert [row["part"] for row in written()] == [0, 1]
@@ -40,7 +40,7 @@
 
 
 class Timers:
-    """Takes one callback at a time, to be called by hand."""
+    """Keeps the last scheduled callback, to be called by hand."""
 
     def call_later(self, delay, call):
         self.delay, self.call = delay, call
