--- a/mothshed/data_plane/load_reporter.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -14,8 +14,9 @@
 class LoadReporter:
     """Exchanges load reports with the leaders of the service parts."""
 
-    def __init__(self, environment, replicas, placing):
-        self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
+    def __init__(self, environment, replicas, placement):
+        self.environment, self.replicas, self.placement = environment, replicas, placement
+        self.leaders = replicas.leaders
         self.last_active_at, self.mark = -1e9, 0
         for part in range(1, constants.PART_COUNT):
             environment.subscribe("usages", self.on_usages, part)
@@ -32,14 +33,14 @@
                     if name in self.replicas.consecutive_failures
                     else 0.0
                 )
-                outcomes = self.placing.outcomes.of(name)
+                outcomes = self.placement.outcomes.counts_of(name)
                 load = replica_load.ReplicaLoad(
                     self.replicas.own_requests.get(name, 0),
                     out,
                     outcomes.answered,
                     outcomes.failed,
-                    list(self.placing.reading[name]),
-                    *self.placing.event_times.of(name),
+                    list(self.placement.backlog[name]),
+                    *self.placement.event_times.of(name),
                 )
                 if load.has_values():
                     part[name] = load
@@ -61,4 +62,4 @@
 
     def on_usages(self, sender, body):
         self.leaders.note_response(body["part"], sender)
-        self.placing.take_others(body["part"], replica_load.from_wire(body["rows"]))
+        self.placement.update_remote_loads(body["part"], replica_load.from_wire(body["rows"]))
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -136,7 +136,7 @@
     site = platform_site.Site()
     try:
         host, (replica,) = site.service("p")
-        order, endpoint = site.router.speech.order_role, site.router.replicas.endpoint(replica.name)
+        order, endpoint = site.router.replica_protocol.order_role, site.router.replicas.endpoint(replica.name)
         with pytest.raises(web.WebFault):
             order(site.environment, endpoint, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -191,7 +191,7 @@
     size = design.Size(routers=2, replicas=replicas)
     fleet = fleet_module.HollowFleet("requests", size).ready()
     router = fleet.routers()[0]
-    router.speech = HollowSpeech(events, router.speech)
+    router.replica_protocol = HollowSpeech(events, router.replica_protocol)
     app = route_front.RouteFront(router)
     environ = {
         "REQUEST_METHOD": "POST",
@@ -210,7 +210,7 @@
     whole = spent(one)
     if count[1] < count[0] * max(1, events):
         raise RuntimeError("a hollow request was not answered whole")
-    ask = route_front.Ask(
+    ask = route_front.RoutedRequest(
         "t",
         "POST",
         "tenant-007.fleet.example",
@@ -227,8 +227,8 @@
     sequence, document = router.lease.sequence(), router.lease.document()
 
     def place():
-        pair = router.placing.pair(sequence, document, design.model(7), ask)
-        router.placing.read(pair)
-        router.replicas.request_ended(pair.writer.name)
+        pair = router.placement.reserve_pair(sequence, document, design.model(7), ask)
+        router.placement.finish_prefill(pair)
+        router.replicas.request_ended(pair.decode_replica.name)
 
     return {"request": whole, "placing": spent(place), "answered": count[0] > 0}
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -9,7 +9,7 @@
 import re
 
 CONSTANTS = "mothshed/constants.py"
-PLACING = "mothshed/data_plane/placing.py"
+PLACEMENT = "mothshed/data_plane/placement.py"
 SENDS = "mothshed/data_plane/delivery_sends.py"
 LOAD_SUMS = "mothshed/control_plane/load_leader_task.py"
 CONFIGURATION = "mothshed/control_plane/config_leader_task.py"
@@ -73,10 +73,10 @@
 
 MECHANISMS = {
     "hand-over: prefill by another replica": Mechanism(
-        (Line(PLACING, "            if alone:\n", "            if True:\n"),)
+        (Line(PLACEMENT, "            if decode_only:\n", "            if True:\n"),)
     ),
     "home of shared parts by hash": Mechanism(
-        (Line(PLACING, " if shared and names else None\n", " if False else None\n"),)
+        (Line(PLACEMENT, " if shared and names else None\n", " if False else None\n"),)
     ),
     "parts known to be kept": constants(MAX_KNOWN_PROMPT_PARTS="0"),
     "cost of reading shared parts again": constants(REPEATED_PREFILL_RATIO="0.0"),
@@ -90,7 +90,13 @@
     "replicas of the own zone": constants(CROSS_ZONE_COST_S="0.0"),
     "extra sends (retry budget)": constants(RETRY_BUDGET_RATIO="0.0", RETRY_SLACK_RATIO="0.0"),
     "writer reads where a handle is lost": Mechanism(
-        (Line(SENDS, "        if not (self.handle and e.rejected and e.verdict is NOT_RUN):\n", "        if True:\n"),)
+        (
+            Line(
+                SENDS,
+                "        if not (self.handle and error.rejected and error.verdict is NOT_RUN):\n",
+                "        if True:\n",
+            ),
+        )
     ),
     "resumable stream taken up after silence": constants(FIRST_EVENT_TIMEOUT_S="1e9", NEXT_EVENT_TIMEOUT_S="1e9"),
     "split follows the load": constants(SHIFT_LOAD_RATIO="1e9"),
