--- a/mothshed/control_plane/list_leader_task.py
+++ b/mothshed/control_plane/list_leader_task.py
@@ -61,13 +61,13 @@
 
     def send_changes(self, address):
         known_number = self.subscribers[address][0]
-        since = [c for c in self.changes if c[0] > known_number]
+        newer = [c for c in self.changes if c[0] > known_number]
         whole = (
-            known_number <= self.first_number or known_number > self.number or len(since) < self.number - known_number
+            known_number <= self.first_number or known_number > self.number or len(newer) < self.number - known_number
         )
         rows, gone = (self.rows, []) if whole else ({}, [])
         if not whole:
-            for number, new, removed in since:
+            for number, new, removed in newer:
                 for name in removed:
                     rows.pop(name, None)
                 rows.update(new)
--- a/mothshed/control_plane/load_leader_task.py
+++ b/mothshed/control_plane/load_leader_task.py
@@ -57,11 +57,11 @@
         """
         now = self.environment.now()
         if self.smoothed_at is None or now - self.smoothed_at > constants.LOAD_REPORT_INTERVAL_S:
-            keep = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.LOAD_HALF_LIFE_S)
+            decay = 0.0 if self.smoothed_at is None else 0.5 ** ((now - self.smoothed_at) / constants.LOAD_HALF_LIFE_S)
             loads = self.sums()
             sums = {name: (load.requests, sum(load.reading)) for name, load in loads.items()}
             self.smoothed = {
-                n: [keep * self.smoothed.get(n, [0, 0])[k] + (1 - keep) * sums.get(n, [0, 0])[k] for k in (0, 1)]
+                n: [decay * self.smoothed.get(n, [0, 0])[k] + (1 - decay) * sums.get(n, [0, 0])[k] for k in (0, 1)]
                 for n in {*self.smoothed, *sums}
             }
             self.smoothed_at = now
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -86,11 +86,11 @@
         """Return the pool's replicas of this part, those of other parts, and this part's rank by replica count."""
         found = self.replicas.usable(selector)
         part = {n: parts.part_of(self.replicas.rows[n]["service"]) for n in found if n in self.replicas.rows}
-        ours = {n: found[n] for n in part if part[n] == self.member.part}
-        others = {n: (found[n]["role"], self.load_of(n, found[n])) for n in part if n not in ours}
+        own = {n: found[n] for n in part if part[n] == self.member.part}
+        others = {n: (found[n]["role"], self.load_of(n, found[n])) for n in part if n not in own}
         count = collections.Counter(part.values())
         ranking = sorted(count, key=lambda p: (-count[p], p))
-        return ours, others, ranking.index(self.member.part) if ours else 0
+        return own, others, ranking.index(self.member.part) if own else 0
 
     def service_of(self, name: str) -> str:
         """Return the service of a replica, or "" if it is no longer listed."""
@@ -114,10 +114,10 @@
             if self.keeps_reported_roles:  # a replica keeps the role that it reports
                 roles = {**{n: c["role"] for n, c in found.items() if c["role"] != "none"}, **roles}
             target_roles.update(split.plan(pool, loads, roles, others, rank))
-        gone = [n for n in self.machine.roles if n not in self.replicas.rows]
-        new = {n: r for n, r in target_roles.items() if self.machine.roles.get(n) != r}
-        if new or gone:
-            command = {"op": "roles", "standing": self.fencing_token, "roles": new, "gone": gone}
+        unlisted = [n for n in self.machine.roles if n not in self.replicas.rows]
+        changed = {n: r for n, r in target_roles.items() if self.machine.roles.get(n) != r}
+        if changed or unlisted:
+            command = {"op": "roles", "standing": self.fencing_token, "roles": changed, "gone": unlisted}
             self.member.propose(command, lambda result: self.roles_committed(result, target_roles))
             return
         self.send_orders(target_roles)
@@ -198,9 +198,8 @@
             self.in_progress.discard(name)
             self.journal.add("order", outcome="taken" if accepted else "failed", replica=name, role=role)
             known = self.replicas.conditions.get(name)
-            if (
-                accepted and not self.announces_token
-            ):  # the list shows the new role late, and every order costs a role change
+            # the list shows the new role late, and every order costs a role change
+            if accepted and not self.announces_token:
                 self.no_repeat_until[(name, role)] = self.environment.now() + constants.ORDER_REPEAT_INTERVAL_S
             if accepted and known:
                 known["c"] = {**known["c"], "role": role}
--- a/mothshed/control_plane/service_part.py
+++ b/mothshed/control_plane/service_part.py
@@ -140,8 +140,8 @@
 
     def shift_count(self, roles: dict[str, str], loads: dict[str, Load], direction: int, allowed: int) -> int:
         """Return how many replicas to move at once: a share of the pool that its bounds and the giving side allow."""
-        most = min(allowed, max(1, int(constants.MAX_ROLE_CHANGE_RATIO * len(roles))))
-        return max((n for n in range(2, most + 1) if self.can_give_up(roles, loads, direction, n)), default=1)
+        max_count = min(allowed, max(1, int(constants.MAX_ROLE_CHANGE_RATIO * len(roles))))
+        return max((n for n in range(2, max_count + 1) if self.can_give_up(roles, loads, direction, n)), default=1)
 
     def move_one(self, roles, loads, role):
         candidates = [n for n in roles if roles[n] != role]
@@ -152,12 +152,12 @@
 
     def load_ratios(self, roles, loads):
         """Return the load of each role as a share of what its replicas can serve; waiting requests count twice."""
-        side = {"prefill": [0, 0], "decode": [0, 0]}
+        totals = {"prefill": [0, 0], "decode": [0, 0]}
         for name, role in roles.items():
             running, waiting, slots = loads[name]
-            side[role][0] += running + 2 * waiting
-            side[role][1] += slots
-        return {r: busy / slots if slots else 0.0 for r, (busy, slots) in side.items()}
+            totals[role][0] += running + 2 * waiting
+            totals[role][1] += slots
+        return {r: busy / slots if slots else 0.0 for r, (busy, slots) in totals.items()}
 
     def can_give_up(self, roles: dict[str, str], loads: dict[str, Load], direction: int, count_moved: int = 1) -> bool:
         """Return whether the role that loses so many replicas still has spare capacity."""
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -186,8 +186,8 @@
         per report.
         """
         known = self.conditions[name]
-        c = known["c"]
-        free = max(0, c["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - c["run"] - c["wait"])
+        condition = known["c"]
+        free = max(0, condition["slots"] + constants.MAX_REPLICA_QUEUED_REQUESTS - condition["run"] - condition["wait"])
         if "share" not in known:
             share = free * constants.SLOT_OVERCOMMIT_RATIO / max(1, self.router_count())
             known["share"] = int(share) + (self.environment.random.random() < share % 1)
--- a/mothshed/replicas/listed_replicas.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -22,9 +22,8 @@
         self.leaders = leaders.Leaders(environment, keepers)
         self.consecutive_failures = {}  # name -> count
         self.number = 0  # of the last list change received
-        self.fresh_at = (
-            environment.now() + constants.LIST_MAX_AGE_S * environment.random.random()
-        )  # when the current list was read
+        # when the current list was read; random at first, so that processes don't all read the list at once
+        self.fresh_at = environment.now() + constants.LIST_MAX_AGE_S * environment.random.random()
         self.reading = False
         self.max_list_age, self.request_interval = constants.LIST_MAX_AGE_S, constants.LIST_REQUEST_INTERVAL_S
         environment.subscribe("list_news", self.on_list_news, constants.LIST_READER_PART)
