--- a/tests/permit_group.py
+++ b/tests/permit_group.py
@@ -76,7 +76,7 @@
 
     def boot(self, name):
         super().boot(name)
-        task = self.task_class(self.seats[name], Lease(), journal_module.Journal(), self.task_bounds)
+        task = self.task_class(self.members[name], Lease(), journal_module.Journal(), self.task_bounds)
         task.group = self
         self.leader_tasks[name] = task
 
@@ -84,7 +84,7 @@
         """Advance time in steps: running members work, and messages are delivered unless held up."""
         for _ in range(round(span / STEP)):
             self.pool.time += STEP
-            for name in sorted(set(self.seats) - self.frozen):
+            for name in sorted(set(self.members) - self.frozen):
                 self.tick(name)
             self.deliver_all()
 
@@ -105,7 +105,7 @@
 
     def request_from_all(self):
         """Request permits from every running member."""
-        for name in sorted(set(self.seats) - self.down - self.frozen):
+        for name in sorted(set(self.members) - self.down - self.frozen):
             self.request_permits(name)
 
     def request_permits(self, name):
@@ -115,7 +115,7 @@
 
     def freeze_during_request(self, name, span):
         """Freeze a member just after it has confirmed its majority, while the others go on."""
-        seat = self.seats[name]
+        seat = self.members[name]
         if self.down | self.frozen or not seat.is_leader:
             return
         self.request_permits(name)
@@ -138,7 +138,7 @@
 
     def inject_event(self):
         """Cause one random event."""
-        name = self.random.choice([*sorted(self.seats), *[n for n in self.seats if self.seats[n].is_leader] * 3])
+        name = self.random.choice([*sorted(self.members), *[n for n in self.members if self.members[n].is_leader] * 3])
         event = self.random.choice(EVENTS)
         if event == "cut":
             self.cut = {name}
@@ -153,20 +153,20 @@
         elif event == "boot" and self.down:
             self.boot(min(self.down))
         elif event == "transfer" and name not in self.down | self.frozen:
-            self.seats[name].transfer_leadership()
+            self.members[name].transfer_leadership()
         elif event == "write":
             for _ in range(6):
                 self.propose(name)
 
     def walk(self, steps):
         """Take so many random steps, checking after each."""
-        self.rest()
+        self.converge()
         for _ in range(steps):
             self.settle(self.random.choice((0.05, 0.2, 0.7, 1.5, 3.0)))
             if self.random.random() < 0.6:
                 self.inject_event()
             if self.random.random() < 0.2:
-                for name in sorted(self.seats):
+                for name in sorted(self.members):
                     self.freeze_during_request(name, self.random.choice((0.5, 2.0, 4.0)))
             if self.random.random() < 0.5:
                 self.request_from_all()
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -15,7 +15,7 @@
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
-    group.seats["A"].renew()
+    group.members["A"].renew()
     task = group.leader_tasks["A"]
 
     def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready):
@@ -113,7 +113,7 @@
         call()
 
     def sleep(self, span):
-        order_group.wait_a_while(self.group, span)
+        order_group.advance_time(self.group, span)
         self.changes()
 
 
@@ -122,7 +122,7 @@
     group, written = order_group.Group(3.0), []
     group.lead("A")
     group.pool.time += 3.3
-    group.seats["A"].renew()
+    group.members["A"].renew()
     task = group.leader_tasks["A"]
     task.environment = NoticeEnvironment(group, task.lease.change)
     add_replica(group, task)
--- a/tests/test_order_turns.py
+++ b/tests/test_order_turns.py
@@ -59,7 +59,7 @@
                 sends.remove(send)
                 send.write()
         elif action == "wait":
-            order_group.wait_a_while(group, (0.1, 1.0, tenure + constants.ORDER_DELIVERY_MARGIN_S + 0.01, 20.0)[choice])
+            order_group.advance_time(group, (0.1, 1.0, tenure + constants.ORDER_DELIVERY_MARGIN_S + 0.01, 20.0)[choice])
     for (at, member_id, fence), (later, other, higher) in itertools.pairwise(group.arrived):
         assert higher > fence or (higher == fence and member_id == other)
         assert member_id == other or later - at >= tenure
@@ -71,5 +71,5 @@
     group.lead("A")
     for span, allowed in ((gap - 0.01, False), (0.02, True)):
         group.pool.time += span
-        group.seats["A"].renew()
+        group.members["A"].renew()
         assert bool(group.leader_tasks["A"].may_send(1)) == allowed
