--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -1,9 +1,9 @@
-"""Admission: a fair queue per tenant in front of the replicas' places.
+"""Admission: start-time fair queueing of tenants for the replicas' free slots.
 
-A request is planned at once when nobody waits; else it waits in its tenant's
-queue. The next to be served is the waiting tenant with the least service for its
-share, so one tenant's rush waits behind its own. The wait is short and bounded;
-past it, or past the queue's bounds, the request is bounced at once.
+A request is planned at once if no request is queued; otherwise it waits in its tenant's
+queue. The next request comes from the queued tenant that has received the least service
+relative to its share, so a burst of one tenant delays only its own requests. The wait is
+short and bounded; after it, or if a queue is full, the request is rejected.
 """
 
 import collections
@@ -14,26 +14,30 @@
 
 
 class QueueEntry:
+    """A queued request; event is set when it may try again for a plan."""
+
     def __init__(self, tenant, share, event):
         self.tenant, self.share, self.event = tenant, share, event
 
 
 class Admission:
+    """The queues of all tenants of one router."""
+
     def __init__(self, environment):
         self.environment = environment
         self.lock = threading.RLock()
-        self.queues = collections.OrderedDict()  # tenant -> deque of tickets
-        self.finish_tags = {}  # tenant -> service taken per share
+        self.queues = collections.OrderedDict()  # tenant -> deque of QueueEntry
+        self.finish_tags = {}  # tenant -> virtual finish time of its last admitted request
         self.virtual_time = 0.0
 
     def queued_count(self):
         return sum(len(q) for q in self.queues.values())
 
     def admit(self, request, share, make_plan, readmission=False):
-        """Waits for make_plan() to give a plan while at the head. Raises Rejection.
+        """Wait until make_plan() returns a plan for this request; return the plan. Raises Rejection.
 
-        again: it was admitted before and its first send was bounced; it waits anew, first
-        of its tenant and past the bounds.
+        readmission: the request was admitted before and that attempt failed; it is queued again with a
+        new wait, first of its tenant and regardless of the queue limits.
         """
         deadline = min(
             (self.environment.now() if readmission else request.arrived_at) + constants.MAX_QUEUE_WAIT_S, request.cutoff
@@ -75,12 +79,14 @@
             entry.event.wait(min(constants.PLACEMENT_INTERVAL_S, max(0.001, deadline - self.environment.now())))
 
     def next_entry(self):
+        """The first request of the tenant with the smallest start tag; None if no request is queued."""
         tenants = [t for t, q in self.queues.items() if q]
         if not tenants:
             return None
         return self.queues[min(tenants, key=lambda t: (max(self.virtual_time, self.finish_tags.get(t, 0.0)), t))][0]
 
     def try_plan(self, tenant, share, make_plan):
+        """Call make_plan(); if it returns a plan, charge the tenant for one request."""
         plan = make_plan()
         if plan:
             start_tag = max(self.virtual_time, self.finish_tags.get(tenant, 0.0))
@@ -89,7 +95,7 @@
         return plan
 
     def wake_head(self):
-        """Something became free: the head may look again."""
+        """Let the next request try again for a plan, since a slot may have become free."""
         with self.lock:
             entry = self.next_entry()
             if entry:
--- a/mothshed/data_plane/backup_releases.py
+++ b/mothshed/data_plane/backup_releases.py
@@ -1,11 +1,12 @@
-"""Frees that outlive their router: a neighbour keeps what each router owes.
+"""Backup releases: a neighbour releases the handles of a router that has died or is cut off.
 
-Before a prefill is sent, its router tells one neighbouring router which replica
-will hold blocks for which request and until when the request can need them; when
-the blocks are freed it says so. What is still owed past that moment belongs to a
-router that is gone or cut off, and the neighbour frees it. Freeing what is already
-free does no harm, and past its cutoff a request needs no memory, so nothing has to
-be agreed here. Bounded: past MAX_BACKUP_RELEASES the oldest are dropped and left to lapse.
+Before a router sends a prefill, it registers the replica, the request and the time until
+which the request can need the KV memory with one neighbouring router; when the handle is
+released, it cancels the registration. A registration that is still there after that time
+belongs to a router that is dead or cut off, and the neighbour releases the handle. A second
+release does no harm and a request needs no memory past its cutoff, so no agreement is
+needed. Beyond MAX_BACKUP_RELEASES the oldest registrations are dropped; the replicas then
+expire those handles by themselves.
 """
 
 import collections
@@ -15,6 +16,8 @@
 
 
 class BackupReleases:
+    """Registers this router's prefills with a neighbour, and keeps the registrations of other routers."""
+
     def __init__(self, environment, gossip, handle_releases, journal):
         self.environment, self.gossip, self.handle_releases, self.journal = (
             environment,
@@ -27,10 +30,10 @@
         handle_releases.notify_finished = self.cancel
         environment.subscribe("owe", self.on_owe)
         environment.subscribe("paid", self.on_paid)
-        environment.post(self.tick)
+        environment.post(self.release_overdue)
 
     def choose_backup(self):
-        """The router that keeps what we owe: the same one while it is in view, else another zone's first."""
+        """Return the address of this router's backup: kept while it is known, else chosen first from other zones."""
         view = dict(self.gossip.view)
         if self.backup_address not in view:
             addresses = sorted(a for a, r in view.items() if r["kind"] == "route")
@@ -61,7 +64,7 @@
     def on_paid(self, sender, body):
         self.entries.pop((sender, body["request"], body["replica"]), None)
 
-    def tick(self):
+    def release_overdue(self):
         now = self.environment.now()
         for key in [k for k, entry in self.entries.items() if entry[0] <= now]:
             due, url, engine = self.entries.pop(key)
@@ -69,4 +72,4 @@
             self.handle_releases.enqueue(
                 replica_adapter.Handle(key[1], key[2], url, engine, {"remote_block_ids": []}, now)
             )
-        self.environment.call_later(constants.BACKUP_RELEASE_INTERVAL_S, self.tick)
+        self.environment.call_later(constants.BACKUP_RELEASE_INTERVAL_S, self.release_overdue)
--- a/mothshed/data_plane/handle_releases.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -1,9 +1,8 @@
-"""Frees: every handle is freed on every way out.
+"""Handle releases: the KV memory behind every handle is released, however its request ends.
 
-The order for a free is queued and carried out by one task, so that no stream
-waits for it. An order that fails is tried again until the replica's own lapse
-has surely taken the blocks, each time after a longer pause; a replica that
-restarted answers that it holds none.
+Releases are queued and sent by one task, so that no stream waits for them. A release that
+fails is retried, each time after twice the delay, until the replica has certainly expired
+the handle by itself. A replica that has restarted replies that it holds none.
 """
 
 import collections
@@ -14,13 +13,15 @@
 
 
 class HandleReleases:
+    """The queue of handles to release, and the retries of releases that failed."""
+
     def __init__(self, environment, journal, release_handle=None):
         self.environment, self.journal = environment, journal
         self.release_handle = release_handle or replica_adapter.release_handle
         self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
-        self.retries = []  # (due, pause, handle): failed once, tried again
+        self.retries = []  # (due, next delay, handle)
         self.event = environment.new_event()
-        self.notify_finished = lambda handle: None  # told once a free is done or pointless
+        self.notify_finished = lambda handle: None  # called once a release has succeeded or expired
 
     def enqueue(self, handle):
         self.queue.append(handle)
--- a/mothshed/data_plane/pairing.py
+++ b/mothshed/data_plane/pairing.py
@@ -1,9 +1,9 @@
-"""Pairing policies: which reader and which writer serve a prompt.
+"""Pairing policies: which prefill replica and which decode replica serve a prompt.
 
-A policy is a function from a Scene (the candidates on both sides with their
-conditions and estimated usage) to a pair of names. Policies are chosen per
-pairing rule in the configuration and can be swapped and compared on the same
-traffic. They only read; reserving and sending are done elsewhere.
+A policy is a function from Candidates (the usable replicas of both roles with their
+reported state and estimated load) to a pair of names. The configuration names the policy
+of each pairing rule, so that policies can be compared on the same traffic. A policy has
+no side effects; slots are reserved and requests sent elsewhere.
 """
 
 import dataclasses
@@ -13,17 +13,19 @@
 
 @dataclasses.dataclass
 class Candidates:
-    prefix_keys: list  # the prompt's prefix keys, longest chain last
-    zone: str  # the router's own cell
-    prefill_replicas: dict  # name -> condition
-    decode_replicas: dict
-    load: dict  # name -> estimated requests there
-    zones: dict  # name -> cell
-    with_free_slot: set  # names with a place for one more
+    """The replicas that a pairing rule allows for one prompt."""
+
+    prefix_keys: list  # of the prompt, longest prefix last
+    zone: str  # the router's own zone
+    prefill_replicas: dict  # name -> reported state
+    decode_replicas: dict  # name -> reported state
+    load: dict  # name -> estimated number of requests
+    zones: dict  # name -> zone
+    with_free_slot: set  # names
 
 
 def having_free_slot(candidates, names):
-    """Those with a free place for one more."""
+    """The replicas among these that have a free slot."""
     return [n for n in names if n in candidates.with_free_slot]
 
 
@@ -45,7 +47,7 @@
 
 
 def cached_share(candidates, name):
-    """Share of the prompt's blocks that a reader reports in its cache.
+    """Share of the prompt's blocks, from the first on, that a prefill replica reports in its cache.
 
     >>> c = Candidates(["a", "b"], "", {"r": {"keys": ["a"]}}, {}, {}, {}, set())
     >>> cached_share(c, "r")
@@ -66,7 +68,7 @@
 
 
 def prefix_affinity(candidates):
-    """Weighs a reader's cached share of the prompt against its usage."""
+    """Choose the prefill replica by its load less a bonus for the cached share of the prompt."""
     names = having_free_slot(candidates, candidates.prefill_replicas)
     prefill_replica = min(
         names,
--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -1,8 +1,8 @@
-"""A request's plan: data first, carried out afterwards.
+"""Makes the plan of a request: which replicas serve it, under which pairing policy.
 
-The plan names the rule, the policy, the pair and the steps in order. It is made
-from the active configuration and the replicas known now; carrying it out may
-replace a goal (a bounced decode, a new configuration) by planning that step anew.
+A plan is made from the active configuration and the replicas known at that moment. Its
+execution may replace a replica by planning again: after a rejected decode, or under a
+newer configuration.
 """
 
 import dataclasses
@@ -13,11 +13,13 @@
 
 @dataclasses.dataclass
 class Plan:
-    sequence: int  # configuration it was made under
+    """A pair of replicas for one request, and the steps that its execution takes."""
+
+    sequence: int  # of the configuration that it was made under
     pool: str
     policy: str
-    prefill_replica: object  # Place of the prefill
-    decode_replica: object  # Place of the decode
+    prefill_replica: object  # an Endpoint
+    decode_replica: object  # an Endpoint
     steps: tuple = ("prefill", "decode", "free", "relay")
 
 
@@ -47,7 +49,7 @@
 
 
 def make(replicas, sequence, document, request, zone, excluded=()):
-    """A Plan, or None while no pair has a free place."""
+    """Return a Plan, or None while no pair of replicas has free slots."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return None
@@ -66,7 +68,7 @@
 
 
 def choose_decode_replica(replicas, document, request, zone, excluded):
-    """A writer for a held handle, chosen anew; None if none has a place."""
+    """Return another decode replica for an existing handle; None if none has a free slot."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return None
@@ -77,7 +79,7 @@
 
 
 def is_still_allowed(replicas, document, request, replica):
-    """Whether a decode goal is still allowed under this document and list."""
+    """Whether this document and the known replicas still allow a decode replica for the request."""
     rule = rule_for(document, request.kind, request.tenant)
     if rule is None:
         return False
--- a/mothshed/data_plane/request_execution.py
+++ b/mothshed/data_plane/request_execution.py
@@ -1,11 +1,12 @@
-"""Carries a plan out: prefill, decode, free, relay, written straight down.
-
-The rules on repeating stand here. An unsafe request is sent again only on a
-proven not_run, and its prefill counts as a run: after it, only the decode of the
-same handle may go elsewhere, and only if the earlier one proved that it did not
-run. A safe request may be done over while no byte has been delivered. Every send
-checks the lease right before and carries its sequence; a plan made under an
-older one is fitted to the newer before its next send.
+"""Executes a request of the completions interface: prefill, decode, handle release, relay of the response.
+
+The rules for repeating requests are here. A request that is not safe to repeat is sent
+again only if it provably did not run, and its prefill counts as a run: after the prefill
+only the decode of the same handle may go to another replica, and only if the earlier
+decode provably did not run. A request that is safe to repeat may start over while no
+byte of its response was delivered. Every send checks the configuration lease right
+before the write and carries its sequence; a plan made under an older configuration is
+made anew under the newer one before its next send.
 """
 
 import mothshed.constants as constants
@@ -19,19 +20,19 @@
 
 
 class RequestExecution(request_sends.RequestSends):
-    """One request on its way; `run` yields (text, finish) and raises what went wrong."""
+    """The execution of one request; `run` yields (text, finish reason) and raises the request's failure."""
 
     def __init__(self, router, request):
         self.router, self.environment, self.request = router, router.environment, request
         self.chart = charts.load("request")
         self.failures = []
-        self.may_have_run = False  # some send of this request ran or may have
+        self.may_have_run = False  # whether any send of this request ran or may have run
         self.send_id_prefix = replica_adapter.unique_request_id(request, self.environment.random)
-        self.sends_written = {"prefill": 0, "decode": 0}  # those written to a replica
-        self.prefill_attempts, self.send_number = 0, 0  # prefills begun; sends named
+        self.sends_written = {"prefill": 0, "decode": 0}  # sends written to a replica
+        self.prefill_attempts, self.send_number = 0, 0  # prefills started; send ids made
         self.excluded = set()
         self.handle = None
-        self.identity_sequence = None  # the sequence under which its tenant was asked for last
+        self.identity_sequence = None  # configuration under which the tenant's key was last checked
 
     def run(self):
         try:
@@ -78,7 +79,7 @@
         )
 
     def check_may_repeat(self, failure):
-        """Returns if the whole request may be done over; raises its end otherwise."""
+        """Return if the whole request may start over; raise its final failure otherwise."""
         if self.chart.state == "relaying":
             self.chart.step("break")
             raise verdict.StreamInterrupted(str(failure)) from failure
@@ -87,7 +88,7 @@
             self.raise_final_failure()
 
     def take_retry_budget(self):
-        """Takes from the budget what doing it all over costs; waits for it as long as for a place."""
+        """Take the cost of starting over from the retry budget, waiting as long as a request may be queued."""
         cost = sum(1 for n in self.sends_written.values() if n)
         deadline = min(self.request.cutoff, self.request.arrived_at + constants.MAX_QUEUE_WAIT_S)
         while self.environment.now() < self.request.cutoff:
@@ -108,13 +109,13 @@
         )
 
     def admit(self):
-        """A plan with both places reserved; a Rejection means nothing ran at all."""
+        """Return a plan with a slot reserved on both replicas; a Rejection means that nothing ran."""
         router, request = self.router, self.request
 
         def make_plan():
             self.stop_if_caller_left()
             sequence, document = router.lease.current()
-            if sequence is None or router.handles_waiting:  # held handles come before new prompts
+            if sequence is None or router.handles_waiting:  # waiting handles come first
                 return None
             plan = planning.make(router.replicas, sequence, document, request, router.zone, self.excluded)
             if plan is None and self.excluded:
@@ -157,7 +158,7 @@
                 yield first
                 yield from tokens
                 self.chart.step("finish")
-            else:  # gathered whole before anything is delivered
+            else:  # the complete response is gathered before anything is delivered
                 gathered = [first]
                 for token in tokens:
                     self.stop_if_caller_left()
--- a/mothshed/data_plane/request_parsing.py
+++ b/mothshed/data_plane/request_parsing.py
@@ -1,6 +1,7 @@
-"""From an HTTP request to a Request: every check that needs no replica.
+"""Parses an HTTP request of the completions interface into a Request.
 
-A fault is a Rejection with its status; nothing has run when one is raised.
+All checks that need no replica are made here. An invalid request raises Rejection with
+its HTTP status; nothing has run then.
 """
 
 import dataclasses
@@ -21,19 +22,21 @@
 
 @dataclasses.dataclass
 class Request:
+    """A validated completions request. Times are seconds on the environment's clock."""
+
     id: str
     tenant: str
     kind: str
-    safe_to_repeat: bool  # safe to repeat
+    safe_to_repeat: bool
     path: str
-    body: dict  # as the user agent sent it, without the parts the router sets
+    body: dict  # as the client sent it, without the fields that the router sets
     prompt: str
     stream: bool
     arrived_at: float
-    cutoff: float  # moment by which the answer must be whole
+    cutoff: float  # deadline for the complete response
     caller: caller_module.Caller = dataclasses.field(default_factory=caller_module.Caller)
-    key_digest: str | None = None  # of the API key that came with it
-    identity: identity_module.Identity | None = None  # who it comes from; None where no key is asked for
+    key_digest: str | None = None  # of the API key sent with it
+    identity: identity_module.Identity | None = None  # authenticated tenant; None where no key is required
 
 
 def invalid_request(reason, status=400):
@@ -41,9 +44,9 @@
 
 
 def parse(arrived_at, path, headers, data, document, caller_identity=None):
-    """Reads a request; headers are lower-case names. document: the active configuration.
+    """Parse a request; raises Rejection. headers: by lower-case name. document: the active configuration.
 
-    caller_identity: who it comes from, None where no key is asked for: then the tenant is the one that it names.
+    caller_identity: the authenticated tenant. None where no key is required; then the tenant header counts.
     """
     try:
         body = json.loads(data)
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -1,10 +1,10 @@
-"""The sends of one request: prefill, then decode of the handle that came back.
+"""The sends of one request: prefill, then decode of the handle that the prefill returned.
 
-Every send checks the lease right before and carries its sequence. A plan made
-under an older one is made anew under the newer, at no cost and without a bounce.
-A send counts once it is written: one held back by its last check, or whose
-connection never stood, took nothing. Each send has a name of its own, so that two
-asks with one id never meet at a replica.
+Every send checks the configuration lease right before the write and carries its sequence.
+A plan made under an older configuration is made anew under the newer one; this costs no
+retry budget and rejects nothing. A send counts once it is written: one withheld by its
+last check, or whose connection was never made, costs nothing. Each send has a unique id,
+so that two requests with the same client-supplied id are never confused at a replica.
 """
 
 import typing
@@ -20,10 +20,10 @@
 
 
 class RequestSends:
-    """The part of Carry that talks to replicas."""
+    """The part of RequestExecution that sends to replicas."""
 
     def wait_for_configuration(self):
-        """The sequence to send under, waited for a little when the lease just lapsed."""
+        """Return the sequence to send under and its document; wait briefly if the lease has just expired."""
         deadline = min(self.request.cutoff, self.environment.now() + constants.LEASE_WAIT_TIMEOUT_S)
         while True:
             self.stop_if_caller_left()
@@ -36,7 +36,7 @@
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
 
     def check_identity(self, sequence: int, document: dict[str, typing.Any]) -> None:
-        """Asks again who the request comes from, under each newer document; raises its end if that has changed."""
+        """Check under each newer configuration that the key still belongs to the tenant; end the request if not."""
         if sequence == self.identity_sequence:
             return
         request, keys = self.request, self.router.tables.of(sequence, document).keys
@@ -51,7 +51,7 @@
         self.identity_sequence = sequence
 
     def reject(self, rejection: verdict.Rejection) -> typing.NoReturn:
-        """Ends the request: by this refusal, or as one that may have run if some send of it has."""
+        """End the request: with this rejection, or as one that may have run if any of its sends may have run."""
         if self.may_have_run:
             self.failures.append(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, rejection.reason))
             self.raise_final_failure()
@@ -59,7 +59,7 @@
         raise rejection
 
     def take_permit(self) -> None:
-        """Takes the one permit that a request of a proven tenant needs; raises Rejection and CallerDisconnected."""
+        """Take the one permit that a request of an authenticated tenant needs; raises Rejection, CallerDisconnected."""
         request = self.request
         if request.identity is None:
             return
@@ -75,7 +75,7 @@
             self.reject(rejection)
 
     def make_last_check(self, sequence, role):
-        """The last check before a send: the lease still runs, under the same sequence."""
+        """Return the last check before a send is written: the lease is valid, for the same sequence."""
 
         def check():
             if self.router.lease.sequence() != sequence:
@@ -88,24 +88,25 @@
         return check
 
     def stop_if_caller_left(self) -> None:
-        """Raises CallerDisconnected if nobody waits for the answer any more."""
+        """Raise CallerDisconnected if the client has disconnected."""
         if self.request.caller.has_left():
             raise verdict.CallerDisconnected()
 
     def time_left(self):
+        """Seconds until the cutoff; raises SendFailure if it has passed."""
         time_left = self.request.cutoff - self.environment.now()
         if time_left <= 0:
             raise verdict.SendFailure(NOT_RUN, "cutoff passed")
         return time_left
 
     def next_send_id(self):
-        """The next send's name; none is made for a caller that has left."""
+        """Return the id of the next send; raises CallerDisconnected, so that nothing is sent for a client that left."""
         self.stop_if_caller_left()
         self.send_number += 1
         return f"{self.send_id_prefix}.{self.send_number}"
 
     def replan(self, plan, sequence, document):
-        """The plan made anew under a newer configuration, in the place of the old one."""
+        """Replace the content of a plan by one made under a newer configuration."""
         replicas, request = self.router.replicas, self.request
         deadline = min(request.cutoff, self.environment.now() + constants.MAX_QUEUE_WAIT_S)
         for name in (self.reserved_prefill, self.reserved_decode):
@@ -157,15 +158,15 @@
                 unconfirmed_handle = replica_adapter.unconfirmed_handle(self.environment, send_id, plan.prefill_replica)
                 if e.verdict is NOT_RUN:
                     self.router.backup_releases.cancel(unconfirmed_handle)
-                else:  # it may hold, or come to hold, what we never heard of
+                else:  # the replica may hold a handle that was never returned, or may come to hold one
                     self.router.handle_releases.enqueue(unconfirmed_handle)
-                if e.reason != web.NOT_READY:  # else nothing was sent: under the newer one, or later
+                if e.reason != web.NOT_READY:  # otherwise nothing was sent: tried again under the current lease
                     raise
-        self.may_have_run = True  # a prefill is a run
+        self.may_have_run = True  # a prefill counts as a run
         self.chart.step("hold")
 
     def decode(self, plan):
-        """Decodes the handle, elsewhere if bounced; returns the stream begun."""
+        """Start the decode of the handle, on another replica if one rejects it; return the started stream."""
         replicas, rejected = self.router.replicas, set()
         deadline = min(
             self.request.cutoff, self.handle.created_at + constants.HANDLE_TTL_S - constants.CONNECT_TIMEOUT_S
@@ -178,7 +179,7 @@
                 replacement = planning.choose_decode_replica(
                     replicas, document, self.request, self.router.zone, rejected
                 )
-                if replacement is None:  # the prompt is read: worth a wait for a place
+                if replacement is None:  # the prefill is done: wait for a free decode slot
                     if self.environment.now() >= deadline:
                         raise verdict.SendFailure(NOT_RUN, "no decode replica for the handle")
                     rejected.clear()
@@ -217,7 +218,7 @@
                 plan.decode_replica = None
 
     def pull_first_token(self, stream):
-        """Pulls the first token: it shows that the pull is done, so the free is ordered."""
+        """Read the first token: it shows that the KV memory was transferred, so the handle is released."""
         tokens = iter(stream)
         try:
             first = next(tokens)
--- a/mothshed/data_plane/retry_budget.py
+++ b/mothshed/data_plane/retry_budget.py
@@ -1,13 +1,13 @@
-"""The one retry budget: extra sends against requests over a sliding window.
+"""The retry budget: limits extra sends to a ratio of the requests in a sliding window.
 
-A request's first prefill and first decode are its own; every other send written
-to a replica is extra. Each router earns a share of a send with each request it
-begins and spends, within one window, no more than it earned: the shares of all
-routers then add up to the fleet's, however many there are, whoever starts or dies.
-Where operators allow the fleet a slack beside the share, each router takes a part of
-it by its count of routers, once it is old enough to have one. What one router does not need another may borrow:
-the lender counts it as spent the moment it gives it away, so nothing has to be
-agreed and a lost answer only loses the loan.
+The first prefill and the first decode of a request cost nothing; every other send
+written to a replica is an extra send. Each router earns a fraction of an extra send with
+each request that it starts, and spends within one window no more than it earned. The
+budgets of all routers therefore add up to the fleet's, however many routers there are
+and whichever start or die. If operators allow the fleet a slack in addition, each router
+takes its part by the number of routers that it knows, once it has run long enough to know
+them. A router may borrow what another does not need: the lender counts a loan as spent
+when it sends it, so no agreement is needed and a lost reply only loses the loan.
 """
 
 import collections
@@ -17,20 +17,22 @@
 
 
 class RetryBudget:
+    """One router's part of the fleet's retry budget."""
+
     def __init__(self, environment, list_neighbours=lambda: [], slack=0.0, count_routers=lambda: 1):
-        """slack: extra sends a window that operators allow the whole fleet beside the share."""
+        """list_neighbours: returns addresses. slack: extra sends per window allowed to the fleet in addition."""
         self.slack, self.count_routers, self.started_at = slack, count_routers, environment.now()
-        self.environment, self.list_neighbours = environment, list_neighbours  # routers() -> addresses of neighbours
-        self.request_times = collections.deque()  # moments of requests
-        self.spent = collections.deque()  # (moment, extra sends spent or lent)
-        self.loans = collections.deque()  # (moment, extra sends borrowed)
+        self.environment, self.list_neighbours = environment, list_neighbours
+        self.request_times = collections.deque()  # when the requests in the window started
+        self.spent = collections.deque()  # (time, extra sends spent or lent)
+        self.loans = collections.deque()  # (time, extra sends borrowed)
         self.borrow_sent_at, self.loan_number, self.needed = -1e9, 0, 0.0
         self.lock, self.event = threading.RLock(), environment.new_event()
         environment.subscribe("borrow", self.on_borrow)
         environment.subscribe("lend", self.on_lend)
 
     def record_request(self):
-        """A request's first send."""
+        """Count a request, at its first send."""
         with self.lock:
             self.request_times.append(self.environment.now())
 
@@ -43,6 +45,7 @@
                 entries.popleft()
 
     def unspent(self):
+        """Extra sends earned and not spent or lent in the window; may be negative after earnings have expired."""
         self.drop_expired()
         old_enough = self.environment.now() - self.started_at > constants.RETRY_SLACK_MIN_AGE_S
         slack = (
@@ -57,7 +60,7 @@
         )
 
     def available(self):
-        """Extra sends that may be done now, loans included."""
+        """Extra sends that may be made now, including borrowed ones."""
         return max(0.0, self.unspent()) + sum(amount for moment, amount in self.loans)
 
     def rounded_available(self):
@@ -65,6 +68,7 @@
             return round(self.available(), 2)
 
     def take(self, count):
+        """Take extra sends, borrowed ones first; False, and nothing is taken, if there are too few."""
         with self.lock:
             if self.available() + 1e-9 < count:
                 return False
@@ -78,7 +82,7 @@
             return True
 
     def take_or_borrow(self, count=1):
-        """Takes so many extra sends at once, borrowing what is missing; False if there is no room."""
+        """Take extra sends, borrowing the missing ones from neighbours; False if there are too few."""
         if not count or self.take(count):
             return True
         with self.lock:
@@ -99,7 +103,7 @@
             amount = min(self.unspent(), body["need"])
             if (
                 amount <= 0 or self.environment.now() - self.borrow_sent_at < constants.BORROW_TIMEOUT_S
-            ):  # short of it itself
+            ):  # needs them itself
                 return
             self.spent.append((self.environment.now(), amount))
         self.environment.send(sender, "lend", mark=body["mark"], amount=amount)
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -1,4 +1,4 @@
-"""A router process's parts, put together: what a request needs on its way."""
+"""The router process: builds its components and keeps the state that they share."""
 
 import contextlib
 import threading
@@ -29,8 +29,10 @@
 
 
 class Router:
+    """One router: its configuration lease, known replicas, admission, retry budget, and requests in flight."""
+
     def __init__(self, environment, settings, replica_protocol=None):
-        """speech: an adapter to another way of speaking; its requests are delivered by routes."""
+        """replica_protocol: an adapter to another replica protocol; its requests are delivered by routes."""
         self.environment, self.settings, self.replica_protocol = environment, settings, replica_protocol
         self.zone = settings["cell"]
         self.journal = journal_module.Journal(environment.now)
@@ -63,7 +65,7 @@
             environment, self.gossip, self.handle_releases, self.journal
         )
         self.in_flight = 0
-        self.handles_waiting = 0  # held handles that wait for a decode place
+        self.handles_waiting = 0  # KV handles whose requests wait for a free decode slot
         self.stopping = self.leaving = False
         self.lock = threading.Lock()
 
@@ -74,7 +76,7 @@
 
     @contextlib.contextmanager
     def waiting_for_decode(self):
-        """While a held handle waits for a decode place, no new prompt is admitted here."""
+        """Count one KV handle that waits for a decode slot; while there is one, no new prompt is admitted here."""
         with self.lock:
             self.handles_waiting += 1
         try:
@@ -84,6 +86,7 @@
                 self.handles_waiting -= 1
 
     def begin_request(self):
+        """Count one more request in flight; False once this router takes no new requests."""
         with self.lock:
             if self.stopping:
                 return False
@@ -95,7 +98,7 @@
             self.in_flight -= 1
 
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
-        """The sequence to serve under and its document, waited for a little; raises CallerDisconnected."""
+        """Wait briefly for a lease; return its sequence (None without one) and document. Raises CallerDisconnected."""
         deadline = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
         while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_left():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
@@ -104,7 +107,7 @@
         return self.lease.current()
 
     def drain(self, timeout_s):
-        """Lingers while new requests still come, then takes nothing new; True once nothing is left."""
+        """Serve for the linger time, then accept nothing new and wait; True if all work ended before the timeout."""
         self.leaving = True
         self.environment.sleep(self.settings.get("linger_s", 0))
         with self.lock:
@@ -117,7 +120,7 @@
         return False
 
     def is_busy(self):
-        """Whether a request or its answer is under way, or a free is left to be sent."""
+        """Whether a request or its response is in progress, or a handle release is pending."""
         return (
             self.in_flight > 0
             or self.handle_releases.count_pending() > 0
@@ -126,11 +129,11 @@
         )
 
     def ready(self):
-        """Whether new user agents are welcome."""
+        """Whether this router should receive new clients."""
         return not self.leaving and self.lease.sequence() is not None and bool(self.replicas.rows)
 
     def apply_limits(self):
-        """What the configuration in force says of user agents' heads and idle connections."""
+        """Apply the active configuration's limits on request headers and idle client connections."""
         limits = (self.lease.document() or {}).get("limits", {})
         if self.server and limits:
             self.server.max_request_header_size = limits.get("head_bytes", constants.MAX_HEADER_BYTES)
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -1,8 +1,8 @@
-"""The router's HTTP front: completions, condition, metrics.
+"""The router's HTTP front for the completions interface: completions, condition and metrics.
 
-Every answer that is not a success says in JSON whether the request may have run.
-A stream's status goes out only with its first token, so that failures before it
-still get a status of their own.
+Every error response states in JSON whether the request may have run. The status of a
+stream is sent only with its first token, so that a failure before it still gets an
+error status.
 """
 
 import functools
@@ -20,6 +20,8 @@
 
 
 class CompletionsFront:
+    """The WSGI application of a router that serves the completions interface."""
+
     def __init__(self, router):
         self.router = router
 
@@ -71,7 +73,7 @@
         return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
 
     def parse_request(self, path, environ, headers, caller):
-        """The request; its waits and cutoff count from when it arrived, not from when a thread was free."""
+        """Parse the request; its waits and cutoff count from its arrival, not from when a thread was free."""
         router = self.router
         arrived_at, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
         document = router.lease.document()
@@ -151,7 +153,7 @@
 
 
 class EventStream:
-    """The body of a streamed answer. Raising in it breaks the stream visibly."""
+    """The body of a streamed response. An exception closes the connection without the end of the stream."""
 
     def __init__(self, router, request, first, execution):
         self.router, self.request, self.execution = router, request, execution
