--- a/mothshed/data_plane/load_reporter.py
+++ b/mothshed/data_plane/load_reporter.py
@@ -1,10 +1,9 @@
-"""What this router has running at replicas, told to one holder; what others have, told back.
+"""Reports what this router has running at replicas to the parts' leaders, and receives what other routers have there.
 
-Each service's part has a leader among the keepers. To it a router says, every beat,
-what it has at that part's replicas (requests, prompt tokens being read, who is out),
-and is told the sums of all other routers. So the number of messages grows with the
-routers, not with routers times replicas. A hint only: nothing is decided by it but
-where to place, and without it a router goes by what it knows itself.
+Each service part has a leader among the keepers. A router periodically sends it what it has at that part's replicas
+(requests, prompt tokens in prefill, exclusions) and gets the sums of all other routers back. The number of messages
+thus grows with the number of routers rather than with routers times replicas. The sums are hints that only placement
+uses; without them a router goes by what it knows itself.
 """
 
 import mothshed.constants as constants
@@ -13,15 +12,18 @@
 
 
 class LoadReporter:
-    def __init__(self, environment, replicas, placing):
-        self.environment, self.replicas, self.placing, self.leaders = environment, replicas, placing, replicas.leaders
-        self.busy_at, self.mark = -1e9, 0
+    """Exchanges load reports with the leaders of the service parts."""
+
+    def __init__(self, environment, replicas, placement):
+        self.environment, self.replicas, self.placement = environment, replicas, placement
+        self.leaders = replicas.leaders
+        self.last_active_at, self.mark = -1e9, 0
         for part in range(1, constants.PART_COUNT):
             environment.subscribe("usages", self.on_usages, part)
         environment.post(self.tick)
 
-    def rows(self):
-        """part -> {replica: ReplicaLoad}, of replicas of which there is anything to tell."""
+    def loads_by_part(self):
+        """Return the load of each part's replicas by name, without replicas that have none."""
         found, now = {}, self.environment.now()
         with self.replicas.lock:
             for name, row in self.replicas.rows.items():
@@ -31,33 +33,33 @@
                     if name in self.replicas.consecutive_failures
                     else 0.0
                 )
-                ended = self.placing.outcomes.of(name)
-                own = replica_load.ReplicaLoad(
+                outcomes = self.placement.outcomes.counts_of(name)
+                load = replica_load.ReplicaLoad(
                     self.replicas.own_requests.get(name, 0),
                     out,
-                    ended.answered,
-                    ended.failed,
-                    list(self.placing.reading[name]),
-                    *self.placing.event_times.of(name),
+                    outcomes.answered,
+                    outcomes.failed,
+                    list(self.placement.backlog[name]),
+                    *self.placement.event_times.of(name),
                 )
-                if own.any():
-                    part[name] = own
+                if load.has_values():
+                    part[name] = load
         return found
 
     def tick(self):
-        now, rows = self.environment.now(), self.rows()
-        if any(load.requests for own in rows.values() for load in own.values()):
-            self.busy_at = now
-        for part, own in rows.items():
+        now, rows = self.environment.now(), self.loads_by_part()
+        if any(load.requests for loads in rows.values() for load in loads.values()):
+            self.last_active_at = now
+        for part, loads in rows.items():
             self.mark += 1
             self.environment.send(
-                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(own)
+                self.leaders.address_for(part), "usage", part=part, mark=self.mark, rows=replica_load.to_wire(loads)
             )
-        busy = now - self.busy_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
+        busy = now - self.last_active_at < constants.IDLE_LOAD_REPORT_INTERVAL_S
         self.environment.call_later(
             constants.LOAD_REPORT_INTERVAL_S if busy else constants.IDLE_LOAD_REPORT_INTERVAL_S, self.tick
         )
 
     def on_usages(self, sender, body):
         self.leaders.note_response(body["part"], sender)
-        self.placing.take_others(body["part"], replica_load.from_wire(body["rows"]))
+        self.placement.update_remote_loads(body["part"], replica_load.from_wire(body["rows"]))
--- a/mothshed/data_plane/request_parsing.py
+++ b/mothshed/data_plane/request_parsing.py
@@ -64,7 +64,7 @@
     max_tokens = body.get("max_tokens", 16)
     if not isinstance(max_tokens, int) or isinstance(max_tokens, bool) or max_tokens < 1:
         raise invalid_request("max_tokens must be a whole number above 0")
-    tenant = caller_identity.tenant if caller_identity else headers.get(identity_module.TENANT_FIELD, "")
+    tenant = caller_identity.tenant if caller_identity else headers.get(identity_module.TENANT_HEADER, "")
     kind = headers.get("x-kind", "")
     if tenant not in document["tenants"]:
         raise invalid_request(f"unknown tenant {tenant!r}", 403)
@@ -90,7 +90,7 @@
         body.get("stream", False),
         arrived_at,
         arrived_at + cutoff_s,
-        key_digest=tenant_keys.digest_in(headers.get(identity_module.FIELD, "")),
+        key_digest=tenant_keys.digest_in(headers.get(identity_module.AUTHORIZATION_HEADER, "")),
         identity=caller_identity,
     )
 
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -39,7 +39,7 @@
         """Check under each newer configuration that the key still belongs to the tenant; end the request if not."""
         if sequence == self.identity_sequence:
             return
-        request, keys = self.request, self.router.tables.of(sequence, document).keys
+        request, keys = self.request, self.router.tables.table_for(sequence, document).keys
         try:
             found = identity.identify(document, keys, identity.NO_ROUTE, request.key_digest)
         except verdict.Rejection as rejection:
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -84,7 +84,7 @@
             sequence, document = router.wait_for_lease(caller or caller_module.Caller())
             if sequence is None:
                 raise verdict.Rejection(503, "no lease", constants.RETRY_AFTER_S, "no_lease")
-            caller_identity = identity.of_caller(document, router.tables.of(sequence, document).keys, headers)
+            caller_identity = identity.identify_caller(document, router.tables.table_for(sequence, document).keys, headers)
         request = request_parsing.parse(arrived_at, path, headers, data, document, caller_identity)
         if caller:
             caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
@@ -100,10 +100,10 @@
             add_entry("request", outcome="invalid")
             return front.fault(start, error.status, error.reason, headers=headers_out + [("Connection", "close")])
         if isinstance(error, verdict.Rejection):
-            add_entry("request", outcome=identity.REFUSED.get(error.status, "invalid"))
+            add_entry("request", outcome=identity.REFUSAL_OUTCOMES.get(error.status, "invalid"))
             if error.status == 503:
                 add_entry("bounce", outcome="no_lease" if self.router.lease.sequence() is None else error.cause)
-            headers_out += identity.challenge(error.status)
+            headers_out += identity.challenge_headers(error.status)
             return front.fault(start, error.status, error.reason, retry=error.retry_after_s, headers=headers_out)
         if isinstance(error, verdict.CallerDisconnected):
             add_entry("request", outcome="left")
