--- a/mothshed/data_plane/delivery.py
+++ b/mothshed/data_plane/delivery.py
@@ -28,8 +28,8 @@
 
 class Delivery(delivery_sends.DeliverySends, placement_wait.PlacementWait):
     def __init__(self, router, request):
-        self.router, self.environment, self.request, self.protocol = router, router.environment, request, router.replica_protocol
-        self.route = request.route
+        self.router, self.environment, self.request = router, router.environment, request
+        self.protocol, self.route = router.replica_protocol, request.route
         self.repeatable = routes.is_repeatable(self.route)
         self.failures, self.excluded = [], set()
         self.may_have_run = False  # it is running, ran, or may have run at a replica
