--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -1,4 +1,4 @@
-"""Calls a WSGI front as a server would: (status, headers, body)."""
+"""Calls a WSGI application as a server would, and returns (status, headers, body)."""
 
 import io
 import json
@@ -13,17 +13,17 @@
         "wsgi.input": io.BytesIO(data),
     }
     environ.update({"HTTP_" + k.upper().replace("-", "_"): v for k, v in dict(headers).items()})
-    said = {}
+    response = {}
 
-    def start(status, fields):
-        said.update(status=int(status.split()[0]), headers={k.lower(): v for k, v in fields})
+    def start(status, header_rows):
+        response.update(status=int(status.split()[0]), headers={k.lower(): v for k, v in header_rows})
 
-    rows = app(environ, start)
-    text = b"".join(rows)
-    if hasattr(rows, "close"):
-        rows.close()
+    pieces = app(environ, start)
+    content = b"".join(pieces)
+    if hasattr(pieces, "close"):
+        pieces.close()
     return (
-        said["status"],
-        said["headers"],
-        json.loads(text) if said["headers"]["content-type"] == "application/json" else text,
+        response["status"],
+        response["headers"],
+        json.loads(content) if response["headers"]["content-type"] == "application/json" else content,
     )
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget over a fleet: no order of loans spends more than was earned, and loans do help."""
+"""The retry budget of a fleet: in no order of loan messages is more spent than earned, and loans are used."""
 
 import mothshed.constants as constants
 import mothshed.data_plane.retry_budget as retry_budget
@@ -7,14 +7,14 @@
 
 
 class Event:
-    """Never waited at: the test delivers answers by hand."""
+    """An event whose wait returns at once; the test delivers replies itself."""
 
     def set(self):
         pass
 
     clear = set
 
-    def wait(self, span):
+    def wait(self, timeout_s):
         return False
 
 
@@ -31,7 +31,7 @@
         }
         for n in names:
             for _ in range(4):
-                routers[n].record_request()  # 0.72 each: none alone can pay for one
+                routers[n].record_request()  # earns 0.72 each: no router alone can pay for an extra send
         spent = [0]
         for n in ("a", "b"):
             spent[0] += routers[n].take_or_borrow()
@@ -45,40 +45,42 @@
 
     most = []
     assert all_orders.explore(make, check, 6) > 100
-    assert max(most) == 2  # 2.16 were earned together
+    assert max(most) == 2  # the three earned 2.16 together
 
 
-def test_a_loan_unused_is_lost_and_a_late_or_foreign_answer_gives_nothing():
+def test_an_unused_loan_expires_and_a_late_or_unrelated_reply_gives_nothing():
     pool = all_orders.Pool()
-    one = retry_budget.RetryBudget(Environment(pool, "a"), lambda: ["b"])
-    assert not one.take_or_borrow()
+    router = retry_budget.RetryBudget(Environment(pool, "a"), lambda: ["b"])
+    assert not router.take_or_borrow()
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 1.0})
     pool.time += constants.LOAN_TTL_S + 0.01
-    assert not one.take_or_borrow()  # lapsed; asks anew under the next mark
+    assert not router.take_or_borrow()  # expired; borrows again under the next number
     pool.ears["a"][("lend", None)]("b", {"mark": 1, "amount": 5.0})
     pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": -5.0})
-    assert not one.take(1)
+    assert not router.take(1)
     pool.ears["a"][("lend", None)]("b", {"mark": 2, "amount": 1.0})
-    assert one.take(1) and not one.take(1)
+    assert router.take(1) and not router.take(1)
 
 
-def test_a_router_that_restarts_again_and_again_spends_its_slack_once_a_window():
-    """Each life may end right after it has spent all it has; no window sees the slack twice."""
+def test_a_router_that_restarts_repeatedly_spends_its_slack_once_per_window():
+    """Each start may end right after all was spent; no window contains the slack twice."""
     pool, spent = all_orders.Pool(), []
-    for life in range(5):
-        one = retry_budget.RetryBudget(Environment(pool, f"a{life}"), lambda: [], slack=50.0, count_routers=lambda: 5)
+    for start in range(5):
+        router = retry_budget.RetryBudget(
+            Environment(pool, f"a{start}"), lambda: [], slack=50.0, count_routers=lambda: 5
+        )
         before = len(spent)
-        while one.available() >= 1 or len(spent) == before:
-            if one.take(1):
+        while router.available() >= 1 or len(spent) == before:
+            if router.take(1):
                 spent.append(pool.time)
             pool.time += 0.01
     most = constants.RETRY_SLACK_RATIO * 50.0 / constants.MIN_SLACK_ROUTERS
-    assert len(spent) == 5 * int(most)  # it was really used in each life
+    assert len(spent) == 5 * int(most)  # the slack was used after each start
     assert max(sum(at <= later < at + constants.RETRY_BUDGET_WINDOW_S for later in spent) for at in spent) <= most
 
 
-def test_a_day_of_bounces_spends_loans_and_stays_within_the_fifth():
+def test_a_scenario_of_rejections_spends_extra_sends_within_the_budget():
     broken, f = simulate.one("replicas_bounce", 2, size="brief")
     assert "few extras" not in broken
     extras = sum(r["kind"] == "seen" and int(r["send"].rsplit(".", 1)[1]) > 2 for r in f.ledger)
-    assert extras >= 4  # the budget was really used
+    assert extras >= 4  # the budget was used
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -1,4 +1,4 @@
-"""Callers' two APIs, streamed and not, and the operator's way through unknown results."""
+"""Both completions APIs, streamed and not; and how the operator's tool resolves unknown results."""
 
 import json
 
@@ -9,28 +9,28 @@
 
 
 @pytest.fixture(scope="module")
-def day():
-    f = sim.SimFleet("calls", routers=1, replicas=2)
-    f.ready()
-    return f
+def fleet():
+    fleet = sim.SimFleet("calls", routers=1, replicas=2)
+    fleet.ready()
+    return fleet
 
 
-def call(f, name, path, body):
-    box = []
+def call(fleet, name, path, body):
+    responses = []
 
     def send():
-        response = f.ops.web.send(
+        response = fleet.ops.web.send(
             "POST",
-            f"http://{f.settings['route-1']['http']}{path}",
+            f"http://{fleet.settings['route-1']['http']}{path}",
             body,
             {"x-request-id": name, "x-tenant": "riders", "x-kind": "question"},
             read=8,
         )
-        box.append((response.status, response.headers, b"".join(response.bytes())))
+        responses.append((response.status, response.headers, b"".join(response.bytes())))
 
-    f.operator(send)
-    f.run(6)
-    return box[0]
+    fleet.operator(send)
+    fleet.run(6)
+    return responses[0]
 
 
 CHAT = {
@@ -42,14 +42,16 @@
 
 
 @pytest.mark.parametrize("path, body", [("/v1/chat/completions", CHAT), ("/v1/completions", TEXT)])
-def test_both_paths_whole_and_streamed_say_the_same(day, path, body):
+def test_both_apis_return_the_same_text_whole_and_streamed(fleet, path, body):
     chat = "chat" in path
-    status, headers, data = call(day, f"w-{chat}", path, body)
-    said = json.loads(data)
-    text = said["choices"][0]["message"]["content"] if chat else said["choices"][0]["text"]
-    assert status == 200 and headers["x-request-id"] == f"w-{chat}" and said["choices"][0]["finish_reason"] == "stop"
-    assert [p.split(".")[0] for p in text.split()] == list("01234") and said["usage"]["completion_tokens"] == 5
-    status, headers, data = call(day, f"s-{chat}", path, {**body, "stream": True})
+    status, headers, data = call(fleet, f"w-{chat}", path, body)
+    completion = json.loads(data)
+    text = completion["choices"][0]["message"]["content"] if chat else completion["choices"][0]["text"]
+    assert (
+        status == 200 and headers["x-request-id"] == f"w-{chat}" and completion["choices"][0]["finish_reason"] == "stop"
+    )
+    assert [p.split(".")[0] for p in text.split()] == list("01234") and completion["usage"]["completion_tokens"] == 5
+    status, headers, data = call(fleet, f"s-{chat}", path, {**body, "stream": True})
     lines = [line for line in data.split(b"\n\n") if line]
     assert status == 200 and headers["content-type"] == "text/event-stream" and lines[-1] == b"data: [DONE]"
     chunks = [json.loads(line[6:]) for line in lines[:-1]]
@@ -58,9 +60,9 @@
     assert {c["object"] for c in chunks} == {"chat.completion.chunk" if chat else "text_completion"}
 
 
-def test_the_replica_sees_the_hand_over_of_the_design(day):
-    call(day, "steps", "/v1/completions", TEXT)
-    kinds = [(r["kind"], r.get("role")) for r in day.ledger if r.get("request") == "steps"]
+def test_replicas_see_prefill_transfer_decode_and_release_in_order(fleet):
+    call(fleet, "steps", "/v1/completions", TEXT)
+    kinds = [(r["kind"], r.get("role")) for r in fleet.ledger if r.get("request") == "steps"]
     assert kinds == [
         ("seen", "prefill"),
         ("run", "prefill"),
@@ -72,8 +74,8 @@
         ("free", None),
         ("decoded", None),
     ]
-    shakes = [r for r in day.ledger if r["kind"] == "handshake"]
-    assert len(shakes) == 1  # one per pair, however many requests
+    handshakes = [r for r in fleet.ledger if r["kind"] == "handshake"]
+    assert len(handshakes) == 1  # one per pair, however many requests
 
 
 @pytest.mark.parametrize(
@@ -87,15 +89,15 @@
         ((503, {"error": {"verdict": "not_run"}}), {"mark": None}, 1),
     ],
 )
-def test_apply_resolves_unknown_results_by_reading_back(monkeypatch, put, taken, code):
-    asked = []
+def test_apply_resolves_unknown_results_by_reading_the_history(monkeypatch, put, taken, code):
+    calls = []
 
     def any_of(addresses, method, path, body=None):
-        asked.append((method, path, body and body["id"]))
+        calls.append((method, path, body and body["id"]))
         return put if method == "PUT" else (200, {"rows": [], "taken": taken})
 
     monkeypatch.setattr(ask, "any_of", any_of)
     assert ask.apply(["k"], 3, {}, "me", "mark")[0] == code
-    assert {mark for method, _, mark in asked if method == "PUT"} == {"mark"}  # repeats carry the same id
-    reads = [path for method, path, _ in asked if method == "GET"]
+    assert {mark for method, _, mark in calls if method == "PUT"} == {"mark"}  # repeats carry the same id
+    reads = [path for method, path, _ in calls if method == "GET"]
     assert reads == (["/configuration/history?id=mark"] if put[0] in (503, 504) else [])
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""A router that is told to stop answers whole what it has read, and says so on its connections."""
+"""A router that drains completes the responses it has begun, and closes its client connections after them."""
 
 import http.client
 import socket
@@ -11,39 +11,39 @@
 
 @pytest.fixture
 def site():
-    found = platform_site.Site()
-    yield found
-    found.stop()
+    made = platform_site.Site()
+    yield made
+    made.stop()
 
 
-def drained(site):
-    """A drain under way; the event is set once it has ended."""
+def start_drain(site):
+    """Start a drain; the event that is returned is set once it has ended."""
     ended = threading.Event()
     threading.Thread(target=lambda: site.router.drain(8) and ended.set(), daemon=True).start()
     platform_site.until(lambda: site.router.stopping)
     return ended
 
 
-def test_a_stream_under_way_is_written_to_its_last_byte_before_the_drain_ends(site):
+def test_a_drain_waits_until_a_running_stream_is_written_in_full(site):
     host, (replica,) = site.service("d", facts={"events": 6, "gap": 0.1})
     address, port = site.address.rsplit(":", 1)
     conn = http.client.HTTPConnection(address, int(port), timeout=8)
     conn.request("POST", "/p/x", b"prompt", {"Host": host, "Try-Id": "s", **platform_site.PROMPT})
     response = conn.getresponse()
-    ended = drained(site)
+    ended = start_drain(site)
     assert not ended.is_set()
-    assert response.read() == platform_site.pieces(1, 6, 6)  # http.client raises on a missing last chunk
+    assert response.read() == platform_site.pieces(1, 6, 6)  # http.client raises if the last chunk is missing
     assert ended.wait(8)
     conn.close()
 
 
-def test_a_request_that_is_still_arriving_is_waited_for_and_refused_as_not_run(site):
+def test_a_drain_waits_for_a_request_that_is_still_arriving_and_rejects_it_as_not_run(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     address, port = site.address.rsplit(":", 1)
     with socket.create_connection((address, int(port)), 8) as conn:
         conn.sendall(b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Le" % host.encode())
         platform_site.until(site.server.exchanging)
-        ended = drained(site)
+        ended = start_drain(site)
         assert not ended.wait(0.2)
         conn.sendall(b"ngth: 3\r\n\r\nabc")
         response = http.client.HTTPResponse(conn)
@@ -53,10 +53,10 @@
         assert ended.wait(8) and replica.asked == []
 
 
-def test_answers_while_leaving_end_their_connection(site):
+def test_responses_while_leaving_close_their_connection(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     assert "Connection" not in site.ask(host, prompt=False)[1].headers
     site.router.leaving = True
-    own, answer = site.ask(host, prompt=False)
-    assert answer.complete and answer.headers["Connection"] == "close" and len(site.platform.ran(own)) == 1
+    request_id, response = site.ask(host, prompt=False)
+    assert response.complete and response.headers["Connection"] == "close" and len(site.platform.ran(request_id)) == 1
     assert site.ask("nobody.example", prompt=False)[1].headers["Connection"] == "close"
