--- a/tests/soak_exchanges.py
+++ b/tests/soak_exchanges.py
@@ -1,11 +1,11 @@
-"""Once-only traffic through a real keeper and a real router, while replicas and the router misbehave.
+"""Soak test: requests that must not run twice, through a real keeper and a real router, under injected faults.
 
 python -m tests.soak_exchanges --seconds 60
 
-Answers are reset, closed, silenced, doubled and given under foreign ids; the router is
-frozen; addresses go to other services before the list shows it. The replicas' account
-is the judge: no id ran twice, none that was refused ran, and every answer that looks
-whole is the one made of that request's own body.
+Responses are reset, closed, withheld, duplicated or sent with the id of another request; the
+router is paused; addresses are reused by replicas of another service before the list shows it.
+Judged by the replicas' records of runs: no id ran twice, no request that was refused ran, and
+every complete response is the one to that request's body.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 import tests.soak_system as soak_system
 
 RESET = struct.pack("ii", 1, 0)  # SO_LINGER that makes a close a reset
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 CALLERS = 10
 FAULTS = (
     {"close": True},
@@ -42,16 +42,16 @@
 
 @dataclasses.dataclass
 class Outcome:
-    """One request as its caller saw it; status 0: no whole answer."""
+    """The result of one request at its caller; status 0: no complete response."""
 
     id: str
     service: str
     status: int
-    right: bool
+    correct: bool
 
 
 class Caller(threading.Thread):
-    """Sends one request after another on a kept connection; never one twice."""
+    """Sends one request after another on a kept connection, each only once."""
 
     def __init__(self, number, address, until):
         super().__init__(daemon=True)
@@ -60,49 +60,53 @@
 
     def run(self):
         """Send requests, one after another, until the time is up."""
-        chance, count = random.Random(self.number), 0
+        rng, count = random.Random(self.number), 0
         while time.monotonic() < self.until:
             count += 1
-            own, service = f"c{self.number}.{count}", chance.choice(soak_system.SERVICES)
-            body = chance.randbytes(chance.choice((0, 10, 3000)))
-            self.outcomes.append(self.ask(own, service, body))
+            request_id, service = f"c{self.number}.{count}", rng.choice(soak_system.SERVICES)
+            body = rng.randbytes(rng.choice((0, 10, 3000)))
+            self.outcomes.append(self.send_request(request_id, service, body))
 
-    def ask(self, own, service, body):
+    def send_request(self, request_id, service, body):
         """Send one request on the kept connection."""
-        headers = {"Host": f"{service}.example", "Try-Id": own, "Time-Left": "1500"}
+        headers = {"Host": f"{service}.example", "Try-Id": request_id, "Time-Left": "1500"}
         try:
             if self.conn is None:
                 self.conn = http.client.HTTPConnection(self.host, int(self.port), timeout=6)
-            self.conn.request("POST", f"/p/{own}", body, headers)
+            self.conn.request("POST", f"/p/{request_id}", body, headers)
             response = self.conn.getresponse()
             data = response.read()
         except (OSError, http.client.HTTPException):
             self.conn.close()
             self.conn = None
-            return Outcome(own, service, 0, True)
-        right = response.status >= 300 or data == soak_system.answer_to(own, body) and response.headers["Try-Id"] == own
-        return Outcome(own, service, response.status, right)
+            return Outcome(request_id, service, 0, True)
+        correct = (
+            response.status >= 300
+            or data == soak_system.answer_to(request_id, body)
+            and response.headers["Try-Id"] == request_id
+        )
+        return Outcome(request_id, service, response.status, correct)
 
 
-class Trouble(threading.Thread):
-    """One trouble after another until the end; `done` counts them."""
+class FaultInjector(threading.Thread):
+    """Injects one fault after another until the end; `injected` counts them by kind."""
 
     def __init__(self, router, replicas, until, seed):
         super().__init__(daemon=True)
         self.router, self.replicas, self.until = router, replicas, until
-        self.random, self.done = random.Random(seed), collections.Counter()
+        self.random, self.injected = random.Random(seed), collections.Counter()
 
     def run(self):
-        """Bring faults in turn until shortly before the end."""
+        """Inject the kinds of faults in turn until shortly before the end."""
         kinds = itertools.cycle([self.spoil, self.reset, self.spoil, self.reuse, self.spoil, self.reset, self.freeze])
         while time.monotonic() < self.until - 1.0:
             kind = next(kinds)
             kind(self.random.choice(self.replicas))
-            self.done[kind.__name__] += 1
+            self.injected[kind.__name__] += 1
             time.sleep(self.random.uniform(0.01, 0.15))
 
     def spoil(self, replica):
-        """Have the replica spoil one of its next answers."""
+        """Let the replica send one of its next responses with a fault."""
         replica.faults.append(self.random.choice(FAULTS))
 
     def reset(self, replica):
@@ -115,24 +119,24 @@
                 pass
 
     def freeze(self, replica):
-        """Stop the router for a moment and let it go on."""
+        """Pause the router process for a moment."""
         self.router.send_signal(signal.SIGSTOP)
         time.sleep(self.random.uniform(0.1, 1.5))
         self.router.send_signal(signal.SIGCONT)
 
     def reuse(self, replica):
-        """Another life, of the other service, on the same address."""
+        """Restart the replica on the same address as one of the other service."""
         other = soak_system.SERVICES[1 - soak_system.SERVICES.index(replica.depot)]
         replica.begin_life(f"i-{self.random.getrandbits(32):08x}", other)
 
 
 def judge(runs, outcomes):
-    """Map each rule to what broke it."""
+    """Map each violated rule to its violations."""
     count = collections.Counter(run["id"] for run in runs)
     broken = {
         "ran twice": [name for name, n in count.items() if n > 1 and name != "first"],
-        "refused, yet it ran": [o.id for o in outcomes if o.status in PROMISES and count[o.id]],
-        "answer of another request": [o.id for o in outcomes if not o.right],
+        "refused, yet it ran": [o.id for o in outcomes if o.status in NOT_RUN_STATUSES and count[o.id]],
+        "answer of another request": [o.id for o in outcomes if not o.correct],
         "run by another service": [
             o.id for o in outcomes for run in runs if run["id"] == o.id and run["service"] != o.service
         ],
@@ -142,27 +146,29 @@
 
 
 def run(folder, seconds, seed=1):
-    """(rules broken, statuses as callers saw them, troubles done)."""
+    """Run the soak; return (violations by rule, responses by status, injected faults by kind)."""
     system = soak_system.System(pathlib.Path(folder))
     try:
         system.configure()
         until = time.monotonic() + seconds
-        trouble = Trouble(system.router, system.replicas, until, seed)
+        injector = FaultInjector(system.router, system.replicas, until, seed)
         callers = [Caller(n, system.door, until) for n in range(CALLERS)]
-        for thread in (*callers, trouble):
+        for thread in (*callers, injector):
             thread.start()
-        for thread in (*callers, trouble):
+        for thread in (*callers, injector):
             thread.join(seconds + 20)
         assert system.router.poll() is None and system.keeper.poll() is None, "a process has ended by itself"
         outcomes = [o for caller in callers for o in caller.outcomes]
         statuses = collections.Counter(o.status for o in outcomes)
-        return judge(list(system.platform.runs), outcomes), statuses, trouble.done
+        return judge(list(system.platform.runs), outcomes), statuses, injector.injected
     finally:
         system.stop()
 
 
 def main():
-    parser = argparse.ArgumentParser(description="once-only traffic through real processes under trouble")
+    parser = argparse.ArgumentParser(
+        description="requests that must not run twice, through real processes under injected faults"
+    )
     parser.add_argument("--seconds", type=float, default=60)
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -1,7 +1,7 @@
-"""Callers that hang up while their request waits: nothing more is begun for them, and what runs is ended.
+"""Callers that disconnect while their request waits: nothing more is sent for them, and what runs is cancelled.
 
-The replicas here say nothing for as long as their caller waits, and deadlines are long, so that only
-the caller's leaving can end a wait.
+The replicas here send nothing while their caller waits, and deadlines are long, so that only the
+caller's disconnect can end a wait.
 """
 
 import socket
@@ -11,19 +11,19 @@
 import tests.platform_site as platform_site
 import tests.platform_stand_in as stand_in
 
-LONG_MS = 60_000  # of a deadline that no test reaches
-SPAN = 8.0  # s; a wait that must end before it
+DEADLINE_MS = 60_000  # a deadline that no test reaches
+WAIT_S = 8.0  # limit of waits that the disconnect must end
 
 
 @pytest.fixture(scope="module")
 def site():
-    found = platform_site.Site()
-    yield found
-    found.stop()
+    created = platform_site.Site()
+    yield created
+    created.stop()
 
 
 class Caller:
-    """One request on a connection of its own, whose end is in the test's hands."""
+    """One request on its own connection, which the test closes."""
 
     def __init__(self, site, host, prompt=True, surplus=b""):
         address, port = site.address.rsplit(":", 1)
@@ -38,86 +38,86 @@
 
 
 def service(site, legs, **more):
-    return site.service(legs, deadline_ms=LONG_MS, target_ms=LONG_MS, **more)
+    return site.service(legs, deadline_ms=DEADLINE_MS, target_ms=DEADLINE_MS, **more)
 
 
-def leave_while_it_is_silent(site, caller, replica):
-    """The caller leaves once the request is at the replica; returns when the replica saw its connection end."""
+def leave_during_silence(site, caller, replica):
+    """Disconnect once the request is at the replica; return when the replica saw its connection closed."""
     platform_site.until(lambda: replica.asked)
     caller.leave()
-    platform_site.until(lambda: replica.left == 1, SPAN)
-    ended(site)
+    platform_site.until(lambda: replica.left == 1, WAIT_S)
+    wait_until_ended(site)
 
 
-def ended(site):
-    platform_site.until(lambda: site.router.in_flight == 0, SPAN)
+def wait_until_ended(site):
+    platform_site.until(lambda: site.router.in_flight == 0, WAIT_S)
 
 
 @pytest.mark.parametrize("surplus", [b"", b"POST /p/y HTTP/1.1\r\n"], ids=["closed", "closed after surplus bytes"])
-def test_who_leaves_during_the_prefill_gets_no_decode(site, surplus):
-    host, (reader, writer) = service(site, "pd")
-    reader.always = {"silent": True}
-    leave_while_it_is_silent(site, Caller(site, host, surplus=surplus), reader)
-    assert platform_site.asked([writer]) == 0 and len(reader.asked) == 1
+def test_no_decode_is_sent_for_a_caller_that_left_during_the_prefill(site, surplus):
+    host, (prefill_replica, decode_replica) = service(site, "pd")
+    prefill_replica.always = {"silent": True}
+    leave_during_silence(site, Caller(site, host, surplus=surplus), prefill_replica)
+    assert platform_site.asked([decode_replica]) == 0 and len(prefill_replica.asked) == 1
 
 
 @pytest.mark.parametrize("resumable, tries", [(False, 1), (True, 2)], ids=["runs once", "may be taken up"])
-def test_who_leaves_before_the_first_event_ends_the_decode_and_gets_no_other(site, resumable, tries):
-    host, (reader, *writers) = service(site, "pdd", resumable=resumable, tries=tries)
-    for writer in writers:
-        writer.always = {"silent": True}
+def test_leaving_before_the_first_event_cancels_the_decode_and_no_other_is_sent(site, resumable, tries):
+    host, (prefill_replica, *decode_replicas) = service(site, "pdd", resumable=resumable, tries=tries)
+    for decode_replica in decode_replicas:
+        decode_replica.always = {"silent": True}
     caller = Caller(site, host)
-    platform_site.until(lambda: platform_site.asked(writers) == 1)
+    platform_site.until(lambda: platform_site.asked(decode_replicas) == 1)
     caller.leave()
-    platform_site.until(lambda: sum(writer.left for writer in writers) == 1, SPAN)
-    ended(site)
-    assert platform_site.asked(writers) == 1
-    platform_site.until(lambda: reader.freed, SPAN)  # what was read is not left behind
+    platform_site.until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
+    wait_until_ended(site)
+    assert platform_site.asked(decode_replicas) == 1
+    platform_site.until(lambda: prefill_replica.freed, WAIT_S)  # the handle is released
 
 
 @pytest.mark.parametrize("resumable", [False, True])
-def test_who_leaves_between_two_events_ends_the_run(site, resumable):
-    host, (reader, *writers) = service(
-        site, "pdd", resumable=resumable, tries=2, facts={"events": 3, "gap": LONG_MS / 1000}
+def test_leaving_between_two_events_cancels_the_run(site, resumable):
+    host, (prefill_replica, *decode_replicas) = service(
+        site, "pdd", resumable=resumable, tries=2, facts={"events": 3, "gap": DEADLINE_MS / 1000}
     )
     caller = Caller(site, host)
     assert caller.socket.recv(5)
     caller.leave()
-    platform_site.until(lambda: sum(writer.left for writer in writers) == 1, SPAN)
-    ended(site)
-    assert platform_site.asked(writers) == 1
+    platform_site.until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
+    wait_until_ended(site)
+    assert platform_site.asked(decode_replicas) == 1
 
 
-def test_who_leaves_while_the_answer_is_gathered_ends_the_run(site):
-    host, (writer,) = service(site, "d", engine=False, kind="repeatable", facts={"events": 0})
-    writer.always = {"silent": True}
-    leave_while_it_is_silent(site, Caller(site, host, prompt=False), writer)
+def test_leaving_while_the_response_is_gathered_cancels_the_run(site):
+    host, (decode_replica,) = service(site, "d", engine=False, kind="repeatable", facts={"events": 0})
+    decode_replica.always = {"silent": True}
+    leave_during_silence(site, Caller(site, host, prompt=False), decode_replica)
 
 
-def test_a_replica_is_not_blamed_for_a_caller_that_left(site):
-    host, (reader, writer) = service(site, "pd")
-    writer.always = {"silent": True}
-    leave_while_it_is_silent(site, Caller(site, host), writer)
+def test_a_caller_that_left_is_not_counted_as_a_failure_of_the_replica(site):
+    host, (prefill_replica, decode_replica) = service(site, "pd")
+    decode_replica.always = {"silent": True}
+    leave_during_silence(site, Caller(site, host), decode_replica)
     assert (
-        writer.name not in site.router.replicas.consecutive_failures
-        and writer.name not in site.router.replicas.suspected_until
+        decode_replica.name not in site.router.replicas.consecutive_failures
+        and decode_replica.name not in site.router.replicas.suspected_until
     )
 
 
-def test_who_leaves_while_no_place_is_free_is_sent_nowhere(site, monkeypatch):
+def test_nothing_is_sent_for_a_caller_that_left_while_no_slot_was_free(site, monkeypatch):
     host, replicas = service(site, "pd")
-    looked = []
+    pair_calls = []
     pair = site.router.placement.reserve_pair
 
-    def after_the_caller_left(*given):
-        if not looked:
-            looked.append(True)
+    def pair_after_caller_left(*args):
+        if not pair_calls:
+            pair_calls.append(True)
             caller.leave()
             return None
-        return pair(*given)
+        return pair(*args)
 
-    monkeypatch.setattr(site.router.placement, "reserve_pair", after_the_caller_left)
+    monkeypatch.setattr(site.router.placement, "reserve_pair", pair_after_caller_left)
     caller = Caller(site, host)
-    platform_site.until(lambda: looked)
-    ended(site)
+    platform_site.until(lambda: pair_calls)
+    wait_until_ended(site)
     assert platform_site.asked(replicas) == 0
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -1,4 +1,4 @@
-"""Exchanges with replicas: what belongs to another one, or proves nothing, is never believed."""
+"""Exchanges with replicas: a response that belongs to another exchange, or is ambiguous, is never accepted."""
 
 import pytest
 
@@ -12,13 +12,13 @@
 
 @pytest.fixture(scope="module")
 def site():
-    found = platform_site.Site()
-    yield found
-    found.stop()
+    created = platform_site.Site()
+    yield created
+    created.stop()
 
 
 class Scripted(bare_http.Listener):
-    """Sends the next of its replies to each request; keeps its connections."""
+    """Sends the next of its replies to each request, and keeps its connections open."""
 
     def __init__(self, *replies):
         self.replies, self.asked = list(replies), []
@@ -32,14 +32,14 @@
 
 @pytest.fixture
 def serve():
-    made = []
+    servers = []
 
     def make(*replies):
-        made.append(Scripted(*replies))
-        return made[-1]
+        servers.append(Scripted(*replies))
+        return servers[-1]
 
     yield make
-    for server in made:
+    for server in servers:
         server.stop()
 
 
@@ -53,40 +53,40 @@
 
 @pytest.mark.parametrize("first", [ONE, CHUNKED + bare_http.chunk(b"one") + b"0\r\n\r\n"], ids=["length", "chunks"])
 @pytest.mark.parametrize("surplus", [b"H", ONE, b"\r\n"], ids=repr)
-def test_bytes_after_a_whole_answer_end_its_connection(serve, first, surplus):
-    """Even those that came with it, and would be lost with the reader's buffer."""
+def test_surplus_bytes_after_a_complete_response_close_its_connection(serve, first, surplus):
+    """Also bytes that arrived together with it and stand in the read buffer."""
     idle, server = kept.Kept(lambda: 0.0), serve(first + surplus, TWO)
     assert ask(idle, server).all() == b"one"
     assert idle.idle.get(server.address, []) == []
     assert ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
 
 
-def test_two_sends_under_one_name_never_share_a_connection(serve):
+def test_two_sends_of_one_request_never_share_a_connection(serve):
     idle, server = kept.Kept(lambda: 0.0), serve(ONE, TWO, ONE, TWO)
     for name in ("a", "a", "b", "a"):
         ask(idle, server, name).all()
     assert [r.conn for r in server.asked] == [1, 2, 2, 3] and idle.reused == 1
 
 
-def test_a_doubled_refusal_is_not_taken_for_the_answer_to_the_next_send_of_one_request(site):
-    """Its id is the same; the second send runs, and its run must not be denied."""
+def test_a_duplicate_rejection_is_not_taken_for_the_response_to_the_next_send_of_its_request(site):
+    """The duplicate has the id of the second send, which runs: it must not be reported as not run."""
     host, (replica,) = site.service("d", engine=False, kind="once_only", tries=2, facts=PLAIN)
-    first_one = []
+    first_send = []
 
-    def take(conn, request, fault, taken=replica.take):
-        own = request.get("Try-Id")
-        refusal = bare_http.whole(503, [("Try-Id", own), ("Not-Run", "1")])
-        if not first_one:
-            first_one.append((conn, request.conn))
+    def take(conn, request, fault, normal_take=replica.take):
+        request_id = request.get("Try-Id")
+        refusal = bare_http.whole(503, [("Try-Id", request_id), ("Not-Run", "1")])
+        if not first_send:
+            first_send.append((conn, request.conn))
             conn.sendall(refusal)
             return True
-        late = first_one[0][0]
-        late.sendall(refusal)  # now, while the second send is at work
-        return taken(conn, request, fault)
+        earlier_connection = first_send[0][0]
+        earlier_connection.sendall(refusal)  # while the second send is being processed
+        return normal_take(conn, request, fault)
 
     replica.take = take
-    own, answer = site.ask(host, prompt=False)
-    assert len(site.platform.ran(own)) == 1 and answer.status == 200 and answer.body == b"said"
+    request_id, response = site.ask(host, prompt=False)
+    assert len(site.platform.ran(request_id)) == 1 and response.status == 200 and response.body == b"said"
     assert replica.asked[0].conn != replica.asked[1].conn
 
 
@@ -103,14 +103,14 @@
     ],
     ids=repr,
 )
-def test_a_reply_that_could_be_framed_in_two_ways_is_a_fault(serve, head):
+def test_a_response_with_ambiguous_framing_is_an_error(serve, head):
     idle, server = kept.Kept(lambda: 0.0), serve(bare_http.head(200, head) + b"3\r\nabc\r\n0\r\n\r\n", TWO)
     with pytest.raises(web.WebFault) as fault:
         ask(idle, server).all()
     assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
 
 
-def test_a_status_that_is_not_final_is_no_answer(serve):
+def test_a_status_that_is_not_final_is_an_error(serve):
     idle, server = kept.Kept(lambda: 0.0), serve(b"HTTP/1.1 102 Processing\r\n\r\n" + ONE)
     with pytest.raises(web.WebFault):
         ask(idle, server)
@@ -127,7 +127,7 @@
     ],
     ids=repr,
 )
-def test_a_reply_with_doubtful_chunks_is_a_fault(serve, data):
+def test_a_response_with_malformed_chunks_is_an_error(serve, data):
     idle, server = kept.Kept(lambda: 0.0), serve(CHUNKED + data, TWO)
     with pytest.raises(web.WebFault) as fault:
         ask(idle, server).all()
@@ -136,25 +136,25 @@
 
 @pytest.mark.parametrize("status", [408, 429, 503])
 @pytest.mark.parametrize("kind", ["once_only", "repeatable", "stream"])
-def test_a_replicas_refusal_without_proof_is_not_passed_on_as_a_promise(site, status, kind):
+def test_a_replicas_refusal_without_a_not_run_header_is_forwarded_as_may_have_run(site, status, kind):
     host, replicas = site.service("dd", engine=False, kind=kind, tries=2, facts=PLAIN)
     for replica in replicas:
         replica.always = {"own": status}
-    own, answer = site.ask(host, prompt=False)
-    assert answer.status in (502, 504) and b"may_have_run" in answer.body and "Postmark" not in answer.headers
-    assert len(site.platform.ran(own)) == (2 if kind == "repeatable" else 1)
+    request_id, response = site.ask(host, prompt=False)
+    assert response.status in (502, 504) and b"may_have_run" in response.body and "Postmark" not in response.headers
+    assert len(site.platform.ran(request_id)) == (2 if kind == "repeatable" else 1)
 
 
-def test_a_send_whose_connection_comes_after_the_callers_time_is_not_written(site, monkeypatch):
-    """As after a freeze of this process between the planning and the write."""
+def test_a_send_whose_connection_is_made_after_the_cutoff_is_not_written(site, monkeypatch):
+    """This happens if the process is paused between planning and write."""
     host, (replica,) = site.service("d", engine=False, kind="once_only", deadline_ms=300, facts=PLAIN)
     connect, now = site.environment.kept.connect, site.environment.now
 
-    def late(address):
+    def connect_late(address):
         conn = connect(address)
         monkeypatch.setattr(site.environment, "now", lambda: now() + 1.0)
         return conn
 
-    monkeypatch.setattr(site.environment.kept, "connect", late)
-    own, answer = site.ask(host, prompt=False)
-    assert answer.status == 503 and b"not_run" in answer.body and replica.asked == []
+    monkeypatch.setattr(site.environment.kept, "connect", connect_late)
+    request_id, response = site.ask(host, prompt=False)
+    assert response.status == 503 and b"not_run" in response.body and replica.asked == []
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of requests: their framing is read strictly and to its end, and no answer is lost to a reset."""
+"""Request bodies: their framing is parsed strictly and read to its end, and no response is lost to a reset."""
 
 import io
 import socket
@@ -12,14 +12,14 @@
 
 @pytest.fixture(scope="module")
 def site():
-    found = platform_site.Site()
-    yield found
-    found.stop()
+    created = platform_site.Site()
+    yield created
+    created.stop()
 
 
 def head(host, name, *more):
-    rows = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: " + name, *more]
-    return b"\r\n".join(rows) + b"\r\n\r\n"
+    lines = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: " + name, *more]
+    return b"\r\n".join(lines) + b"\r\n\r\n"
 
 
 def connect(site):
@@ -27,16 +27,16 @@
     return socket.create_connection((address, int(port)), 5)
 
 
-def answers(conn):
-    """All that comes until the end."""
-    rows = []
+def read_until_closed(conn):
+    """All bytes received until the connection is closed."""
+    pieces = []
     conn.settimeout(5)
     while piece := conn.recv(65536):
-        rows.append(piece)
-    return b"".join(rows)
+        pieces.append(piece)
+    return b"".join(pieces)
 
 
-CODED = b"Transfer-Encoding: chunked"
+CHUNKED = b"Transfer-Encoding: chunked"
 
 
 def service(site):
@@ -44,15 +44,15 @@
 
 
 @pytest.mark.parametrize("trailer", [b"", b"X: y\r\n", b"X: y\r\nPOST /p/x HTTP/1.1: z\r\n"])
-def test_a_trailer_is_no_request_and_the_connection_goes_on(site, trailer):
+def test_a_trailer_is_not_read_as_a_request_and_the_connection_stays_usable(site, trailer):
     host, (replica,) = service(site)
     with connect(site) as conn:
-        conn.sendall(head(host, b"one", CODED) + b"3\r\nabc\r\n0\r\n" + trailer + b"\r\n")
+        conn.sendall(head(host, b"one", CHUNKED) + b"3\r\nabc\r\n0\r\n" + trailer + b"\r\n")
         assert conn.recv(1) == b"H"
-        platform_site.until(lambda: not site.server.exchanging())  # it holds no thread while it rests
+        platform_site.until(lambda: not site.server.exchanging())  # an idle connection holds no thread
         conn.sendall(head(host, b"two", b"Content-Length: 2", b"Connection: close") + b"de")
-        said = answers(conn)
-    assert said.count(b"HTTP/1.1 ") == 1 + (said[:4] == b"HTTP") and said.count(b"TTP/1.1 200") == 2
+        received = read_until_closed(conn)
+    assert received.count(b"HTTP/1.1 ") == 1 + (received[:4] == b"HTTP") and received.count(b"TTP/1.1 200") == 2
     assert [(r.get("Try-Id"), r.body) for r in replica.asked] == [("one", b"abc"), ("two", b"de")]
 
 
@@ -72,42 +72,42 @@
     ],
     ids=repr,
 )
-def test_a_doubtful_chunk_is_answered_400_and_ends_its_connection(site, data):
+def test_a_malformed_chunk_gets_status_400_and_closes_its_connection(site, data):
     host, (replica,) = service(site)
     with connect(site) as conn:
-        conn.sendall(head(host, b"bad", CODED) + data + head(host, b"inner", b"Content-Length: 0"))
-        said = answers(conn)
-    assert said.startswith(b"HTTP/1.1 400 ") and said.count(b"HTTP/1.1 ") == 1
-    assert b"Connection: close" in said and replica.asked == []
+        conn.sendall(head(host, b"bad", CHUNKED) + data + head(host, b"inner", b"Content-Length: 0"))
+        received = read_until_closed(conn)
+    assert received.startswith(b"HTTP/1.1 400 ") and received.count(b"HTTP/1.1 ") == 1
+    assert b"Connection: close" in received and replica.asked == []
 
 
-def test_a_refusal_before_the_chunks_were_read_leaves_none_to_be_taken_for_a_request(site):
+def test_chunks_unread_after_a_rejection_are_not_read_as_a_request(site):
     host, (replica,) = service(site)
     site.router.stopping = True
     try:
         with connect(site) as conn:
             inner = head(host, b"inner", b"Content-Length: 0")
-            conn.sendall(head(host, b"outer", CODED) + b"%x\r\n%b\r\n0\r\n\r\n" % (len(inner), inner))
-            said = answers(conn)
+            conn.sendall(head(host, b"outer", CHUNKED) + b"%x\r\n%b\r\n0\r\n\r\n" % (len(inner), inner))
+            received = read_until_closed(conn)
     finally:
         site.router.stopping = False
-    assert said.startswith(b"HTTP/1.1 503 ") and said.count(b"HTTP/1.1 ") == 1 and replica.asked == []
+    assert received.startswith(b"HTTP/1.1 503 ") and received.count(b"HTTP/1.1 ") == 1 and replica.asked == []
 
 
-@pytest.mark.parametrize("coded", [False, True], ids=["length", "chunks"])
-def test_the_answer_to_a_body_that_is_too_long_is_not_lost_to_a_reset(site, coded):
+@pytest.mark.parametrize("is_chunked", [False, True], ids=["length", "chunks"])
+def test_the_response_to_a_body_that_is_too_long_is_not_lost_to_a_reset(site, is_chunked):
     host, (replica,) = service(site)
     size = constants.MAX_BODY_BYTES + 2000000
     with connect(site) as conn:
-        if coded:
-            conn.sendall(head(host, b"long", CODED) + b"%x\r\n" % size)
+        if is_chunked:
+            conn.sendall(head(host, b"long", CHUNKED) + b"%x\r\n" % size)
         else:
             conn.sendall(head(host, b"long", b"Content-Length: %d" % size))
         conn.sendall(b"x" * size)
-        said = answers(conn)
-    assert said.startswith(b"HTTP/1.1 413 ") and said.endswith(b"}") and replica.asked == []
+        received = read_until_closed(conn)
+    assert received.startswith(b"HTTP/1.1 413 ") and received.endswith(b"}") and replica.asked == []
 
 
-def test_a_chunk_of_any_size_is_read_only_as_far_as_was_asked():
+def test_a_read_returns_no_more_than_asked_however_long_the_chunk_is():
     file = io.BytesIO(b"fffffff\r\n" + b"x" * 1000)
     assert chunked.ChunkedBody(file).read(100) == b"x" * 100 and file.tell() == 109
