--- a/mothshed/data_plane/admission.py
+++ b/mothshed/data_plane/admission.py
@@ -31,6 +31,7 @@
         self.virtual_time = 0.0
 
     def queued_count(self):
+        """Number of queued requests of all tenants."""
         return sum(len(q) for q in self.queues.values())
 
     def admit(self, request, share, make_plan, readmission=False):
@@ -67,6 +68,7 @@
             self.wake_head()
 
     def wait(self, deadline, entry, make_plan):
+        """Try for a plan whenever the entry is the next one, until the deadline; raises Rejection."""
         while True:
             with self.lock:
                 if self.next_entry() is entry:
--- a/mothshed/data_plane/backup_releases.py
+++ b/mothshed/data_plane/backup_releases.py
@@ -42,6 +42,7 @@
         return self.backup_address
 
     def register(self, request, replica, time_left):
+        """Register a prefill that is about to be sent with the backup; time_left: seconds until its cutoff."""
         self.environment.send(
             self.choose_backup(),
             "owe",
@@ -53,18 +54,22 @@
         )
 
     def cancel(self, handle):
+        """Cancel the registration of a handle that is released or was never made."""
         self.environment.send(self.backup_address, "paid", request=handle.request, replica=handle.replica)
 
     def on_owe(self, sender, body):
+        """Keep the registration of another router's prefill."""
         due = self.environment.now() + min(body["left"], constants.MAX_CUTOFF_S) + constants.BACKUP_RELEASE_DELAY_S
         self.entries[(sender, body["request"], body["replica"])] = (due, body["url"], body["engine"])
         while len(self.entries) > constants.MAX_BACKUP_RELEASES:
             self.entries.popitem(last=False)
 
     def on_paid(self, sender, body):
+        """Drop a registration that its router cancelled."""
         self.entries.pop((sender, body["request"], body["replica"]), None)
 
     def release_overdue(self):
+        """Release the handles whose registration is past its time; repeated at an interval."""
         now = self.environment.now()
         for key in [k for k, entry in self.entries.items() if entry[0] <= now]:
             due, url, engine = self.entries.pop(key)
--- a/mothshed/data_plane/handle_releases.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -24,10 +24,12 @@
         self.notify_finished = lambda handle: None  # called once a release has succeeded or expired
 
     def enqueue(self, handle):
+        """Queue a handle for release; returns at once."""
         self.queue.append(handle)
         self.event.set()
 
     def run(self):
+        """Send the queued releases and the retries that are due, as long as the process lives."""
         while True:
             self.event.wait(constants.HANDLE_RELEASE_RETRY_INTERVAL_S)
             self.event.clear()
@@ -40,6 +42,7 @@
                 self.release(handle, delay)
 
     def release(self, handle, delay):
+        """Send one release; on failure, schedule a retry after the delay, and after twice the delay the next time."""
         try:
             done = self.release_handle(self.environment, handle)
         except web.WebFault:
@@ -51,4 +54,5 @@
             self.retries.append((self.environment.now() + delay, 2 * delay, handle))
 
     def count_pending(self):
+        """Number of releases not yet done, except retries for handles that were never confirmed."""
         return len(self.queue) + sum(entry[2].confirmed for entry in self.retries)
--- a/mothshed/data_plane/pairing.py
+++ b/mothshed/data_plane/pairing.py
@@ -30,14 +30,17 @@
 
 
 def load_ratio(candidates, replicas, name):
+    """Estimated requests at a replica per slot."""
     return candidates.load[name] / max(1, replicas[name]["slots"])
 
 
 def zone_distance(candidates, name):
+    """Zero for a replica in the router's own zone, one for any other."""
     return 0 if candidates.zones[name] == candidates.zone else 1
 
 
 def least_loaded(candidates, replicas):
+    """The replica with a free slot and the lowest load ratio, preferably in the own zone; None if there is none."""
     names = having_free_slot(candidates, replicas)
     return min(
         names,
@@ -64,6 +67,7 @@
 
 
 def least_loaded_pair(candidates):
+    """Choose both replicas by load alone."""
     return least_loaded(candidates, candidates.prefill_replicas), least_loaded(candidates, candidates.decode_replicas)
 
 
--- a/mothshed/data_plane/plan.py
+++ b/mothshed/data_plane/plan.py
@@ -24,6 +24,7 @@
 
 
 def rule_for(document, kind, tenant):
+    """Return the first pairing rule for a kind of request of a tenant; None if there is none."""
     for rule in document["pairings"]:
         if kind in rule.get("kinds", [kind]) and tenant in rule.get("tenants", [tenant]):
             return rule
@@ -31,6 +32,7 @@
 
 
 def find_candidates(replicas, document, rule, request, zone, excluded=()):
+    """Return the usable replicas that a rule selects, without the excluded ones."""
     selector = document["pools"][rule["pool"]]["selector"]
     prefill_replicas = replicas.usable({**selector, **rule.get("prefill", {})}, "prefill")
     decode_replicas = replicas.usable({**selector, **rule.get("decode", {})}, "decode")
--- a/mothshed/data_plane/request_execution.py
+++ b/mothshed/data_plane/request_execution.py
@@ -35,17 +35,20 @@
         self.identity_sequence = None  # configuration under which the tenant's key was last checked
 
     def run(self):
+        """Execute the request; its handle, if there is one, is released at the end in any case."""
         try:
             yield from self.run_attempts()
         finally:
             self.release_handle()
 
     def release_handle(self):
+        """Queue the release of the request's handle, if it has one."""
         if self.handle:
             self.router.handle_releases.enqueue(self.handle)
             self.handle = None
 
     def run_attempts(self):
+        """Admit and attempt the request until an attempt succeeds or the request may not be repeated."""
         self.take_permit()
         plan = self.admit()
         self.chart.step("admit")
@@ -61,6 +64,7 @@
                 plan = self.admit()
 
     def record_failure(self, failure):
+        """Note a failed send, exclude its replica from further plans, and mark the replica as full or suspected."""
         self.failures.append(failure)
         if failure.verdict is not NOT_RUN:
             self.may_have_run = True
@@ -100,6 +104,7 @@
         return False
 
     def raise_final_failure(self):
+        """Raise RequestFailure if the request may have run, Rejection otherwise."""
         if self.may_have_run:
             self.chart.step("fail")
             raise verdict.RequestFailure("request failed", self.failures)
@@ -136,6 +141,7 @@
             raise
 
     def run_attempt(self, plan):
+        """Run prefill and decode on the plan's replicas, and yield the response; free their slots at the end."""
         replicas = self.router.replicas
         self.reserved_prefill, self.reserved_decode = plan.prefill_replica.name, plan.decode_replica.name
         try:
@@ -151,6 +157,7 @@
             self.router.admission.wake_head()
 
     def relay(self, started_stream):
+        """Yield the tokens of a decode: as they arrive for a streamed request, after the last one otherwise."""
         stream, first, tokens = started_stream
         try:
             if self.request.stream:
--- a/mothshed/data_plane/request_parsing.py
+++ b/mothshed/data_plane/request_parsing.py
@@ -40,6 +40,7 @@
 
 
 def invalid_request(reason, status=400):
+    """Return the Rejection of an invalid request, for the caller to raise."""
     return verdict.Rejection(status, reason)
 
 
@@ -96,6 +97,7 @@
 
 
 def check_prompt(path, body):
+    """Raise Rejection unless the body has a valid prompt (completions) or messages (chat completions)."""
     if path == "/v1/completions":
         if not isinstance(body.get("prompt"), str) or not body["prompt"]:
             raise invalid_request("prompt must be a text of at least one character")
@@ -109,6 +111,7 @@
 
 
 def parse_cutoff(headers, default_s):
+    """Return the time that the client allows for the response, in seconds; raises Rejection."""
     value = headers.get("x-cutoff-ms")
     if value is None:
         return default_s
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -129,6 +129,7 @@
                 self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
 
     def prefill(self, plan):
+        """Send the prefill under the current configuration and keep its handle; raises SendFailure."""
         self.prefill_attempts += 1
         while True:
             self.chart.step("prefill")
--- a/mothshed/data_plane/retry_budget.py
+++ b/mothshed/data_plane/retry_budget.py
@@ -37,6 +37,7 @@
             self.request_times.append(self.environment.now())
 
     def drop_expired(self):
+        """Forget requests and sends that have left the window, and loans that have expired."""
         now = self.environment.now()
         while self.request_times and self.request_times[0] <= now - constants.RETRY_BUDGET_WINDOW_S:
             self.request_times.popleft()
@@ -64,6 +65,7 @@
         return max(0.0, self.unspent()) + sum(amount for moment, amount in self.loans)
 
     def rounded_available(self):
+        """The available extra sends, for the condition page."""
         with self.lock:
             return round(self.available(), 2)
 
@@ -99,16 +101,17 @@
         return self.take(count)
 
     def on_borrow(self, sender, body):
+        """Lend a neighbour what it needs, up to what is unspent here."""
         with self.lock:
             amount = min(self.unspent(), body["need"])
-            if (
-                amount <= 0 or self.environment.now() - self.borrow_sent_at < constants.BORROW_TIMEOUT_S
-            ):  # needs them itself
+            # A router that is borrowing at this moment needs its extra sends itself.
+            if amount <= 0 or self.environment.now() - self.borrow_sent_at < constants.BORROW_TIMEOUT_S:
                 return
             self.spent.append((self.environment.now(), amount))
         self.environment.send(sender, "lend", mark=body["mark"], amount=amount)
 
     def on_lend(self, sender, body):
+        """Accept a loan if it answers the latest request."""
         with self.lock:
             if body["mark"] != self.loan_number or body["amount"] <= 0:
                 return
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -70,6 +70,7 @@
         self.lock = threading.Lock()
 
     def run(self):
+        """Start the background tasks."""
         self.replicas.run()
         self.environment.spawn(self.handle_releases.run)
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
@@ -94,6 +95,7 @@
             return True
 
     def end_request(self):
+        """Count one request less in flight."""
         with self.lock:
             self.in_flight -= 1
 
@@ -140,6 +142,7 @@
             self.server.limit_idle(limits.get("idle_s", constants.DEFAULT_IDLE_TIMEOUT_S))
 
     def condition(self):
+        """Return the state of this router that the condition page shows."""
         sequence = self.lease.sequence()
         return {
             "name": self.settings["name"],
@@ -160,6 +163,7 @@
         }
 
     def front(self):
+        """Make the HTTP server of this router; it is not yet serving."""
         app = route_front.RouteFront(self) if self.replica_protocol else router_front.CompletionsFront(self)
         self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -26,6 +26,7 @@
         self.router = router
 
     def __call__(self, environ, start):
+        """Dispatch one WSGI request by its path and method."""
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         if path in request_parsing.PATHS:
             if method != "POST":
@@ -39,13 +40,16 @@
         return front.fault(start, 404, f"no such path {path}")
 
     def condition(self, start):
+        """Respond with the router's state; status 503 while it does not serve."""
         condition = self.router.condition()
         return front.respond(start, 200 if condition["serving"] else 503, condition)
 
     def metrics(self, start):
+        """Respond with the counters in text form."""
         return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
 
     def complete(self, path, environ, start):
+        """Execute one completions request and respond with its result or failure."""
         router = self.router
         headers = front.headers_of(environ)
         headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
@@ -94,6 +98,7 @@
         return request
 
     def respond_failure(self, start, error, headers):
+        """Respond to a request that failed before its response began, and record its outcome in the journal."""
         request_id = headers.get("x-request-id", "")
         request_id = request_id if request_parsing.REQUEST_ID.match(request_id) else ""
         headers_out = [("X-Request-Id", request_id)] if request_id else []
@@ -128,6 +133,7 @@
 
 
 def make_chunk(request, text, finish_reason, created):
+    """Return one chunk of a streamed response as an object of the completions API."""
     if request.path == "/v1/chat/completions":
         choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
         kind = "chat.completion.chunk"
@@ -143,6 +149,7 @@
 
 
 def make_response(request, tokens):
+    """Return the complete response as an object of the completions API."""
     text, finish_reason = "".join(t for t, f in tokens), tokens[-1][1]
     response = make_chunk(request, text, finish_reason, int(time.time()))
     if request.path == "/v1/chat/completions":
@@ -170,6 +177,7 @@
         return next(self.encoded_events)
 
     def encode_events(self, first):
+        """Yield the encoded events of the stream, the end marker last; sets the outcome."""
         created = int(time.time())
         try:
             yield self.encode_event(first, created)
@@ -182,9 +190,11 @@
         self.outcome = "done"
 
     def encode_event(self, token, created):
+        """Return one server-sent event."""
         return b"data: " + json.dumps(make_chunk(self.request, *token, created)).encode() + b"\n\n"
 
     def close(self):
+        """End the execution, called by the server when the response is sent or broken off; record its outcome."""
         if self.open:
             self.open = False
             self.execution.close()
