--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -39,7 +39,7 @@
 
     def check(case):
         routers, spent = case
-        spent[0] += sum(r.take(1) for r in routers.values())
+        spent[0] += sum(router.take(1) for router in routers.values())
         assert spent[0] <= constants.RETRY_BUDGET_RATIO * 12 + 1e-6
         most.append(spent[0])
 
@@ -80,7 +80,7 @@
 
 
 def test_a_scenario_of_rejections_spends_extra_sends_within_the_budget():
-    broken, f = simulate.one("replicas_bounce", 2, size="brief")
+    broken, fleet = simulate.one("replicas_bounce", 2, size="brief")
     assert "few extras" not in broken
-    extras = sum(r["kind"] == "seen" and int(r["send"].rsplit(".", 1)[1]) > 2 for r in f.ledger)
+    extras = sum(record["kind"] == "seen" and int(record["send"].rsplit(".", 1)[1]) > 2 for record in fleet.ledger)
     assert extras >= 4  # the budget was used
