--- a/mothshed/data_plane/handle_releases.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -1,9 +1,8 @@
-"""Frees: every handle is freed on every way out.
+"""Handle releases: the KV memory behind every handle is released, however its request ends.
 
-The order for a free is queued and carried out by one task, so that no stream
-waits for it. An order that fails is tried again until the replica's own lapse
-has surely taken the blocks, each time after a longer pause; a replica that
-restarted answers that it holds none.
+Releases are queued and sent by one task, so that no stream waits for them. A release that
+fails is retried, each time after twice the delay, until the replica has certainly expired
+the handle by itself. A replica that has restarted replies that it holds none.
 """
 
 import collections
@@ -14,19 +13,23 @@
 
 
 class HandleReleases:
+    """The queue of handles to release, and the retries of releases that failed."""
+
     def __init__(self, environment, journal, release_handle=None):
         self.environment, self.journal = environment, journal
         self.release_handle = release_handle or replica_adapter.release_handle
         self.queue = collections.deque(maxlen=constants.MAX_PENDING_RELEASES)
-        self.retries = []  # (due, pause, handle): failed once, tried again
+        self.retries = []  # (due, next delay, handle)
         self.event = environment.new_event()
-        self.notify_finished = lambda handle: None  # told once a free is done or pointless
+        self.notify_finished = lambda handle: None  # called once a release has succeeded or expired
 
     def enqueue(self, handle):
+        """Queue a handle for release; returns at once."""
         self.queue.append(handle)
         self.event.set()
 
     def run(self):
+        """Send the queued releases and the retries that are due, as long as the process lives."""
         while True:
             self.event.wait(constants.HANDLE_RELEASE_RETRY_INTERVAL_S)
             self.event.clear()
@@ -39,6 +42,7 @@
                 self.release(handle, delay)
 
     def release(self, handle, delay):
+        """Send one release; on failure, schedule a retry after the delay, and after twice the delay the next time."""
         try:
             done = self.release_handle(self.environment, handle)
         except web.WebFault:
@@ -50,4 +54,5 @@
             self.retries.append((self.environment.now() + delay, 2 * delay, handle))
 
     def count_pending(self):
+        """Number of releases not yet done, except retries for handles that were never confirmed."""
         return len(self.queue) + sum(entry[2].confirmed for entry in self.retries)
