--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -34,8 +34,8 @@
 
     def __init__(self, member, replicas, lease, journal, speech=None, tenure=None):
         self.order_role = speech.order_role if speech else replica_adapter.order_role
-        self.keeps_reported_roles = speech is not None and speech.gives_roles
-        self.announces_token = speech is None or speech.says_standing
+        self.keeps_reported_roles = speech is not None and speech.reports_roles
+        self.announces_token = speech is None or speech.announces_token
         self.load_task = load_leader_task.LoadLeaderTask(member, self.service_of) if speech else None
         self.no_repeat_until = {}  # (replica, role) -> until when an accepted order isn't repeated
         self.member, self.machine, self.environment = member, member.machine, member.environment
--- a/mothshed/programs/document_file.py
+++ b/mothshed/programs/document_file.py
@@ -11,5 +11,5 @@
     """Parse the JSON in the file; end the command with exit code 2 if that can't be done."""
     try:
         return json.loads(pathlib.Path(path).read_text())
-    except (OSError, ValueError) as fault:
-        raise cappa.Exit(f"{path}: {fault}", code=2) from fault
+    except (OSError, ValueError) as error:
+        raise cappa.Exit(f"{path}: {error}", code=2) from error
--- a/mothshed/programs/environment.py
+++ b/mothshed/programs/environment.py
@@ -21,7 +21,7 @@
 import mothshed.runtime.mailbox as mailbox
 
 
-class Tasks:
+class BlockingEnvironment:
     """Clock, pauses, events, tasks, HTTP and chance: what straight-down code takes."""
 
     def __init__(self):
@@ -32,8 +32,8 @@
     def now(self):
         return clock.now()
 
-    def sleep(self, span):
-        time.sleep(span)
+    def sleep(self, duration_s):
+        time.sleep(duration_s)
 
     def new_event(self):
         return threading.Event()
@@ -44,13 +44,13 @@
         def run():
             try:
                 call()
-            except Exception as e:
-                log_buffer.failure("task_failed", e)
+            except Exception as error:
+                log_buffer.failure("task_failed", error)
 
         threading.Thread(target=run, daemon=True).start()
 
 
-class Environment(Tasks):
+class Environment(BlockingEnvironment):
     """Tasks, and the mailbox, timers and peers that callbacks take."""
 
     def __init__(self, timers, peers, address):
@@ -69,8 +69,8 @@
     def call_later(self, delay, call):
         return self.timers.add(delay, self.post, call)
 
-    def send(self, goal, kind, **body):
-        self.peers.send(goal, kind, **body)
+    def send(self, destination, kind, **body):
+        self.peers.send(destination, kind, **body)
 
     def send_to_each(self, addresses: collections.abc.Iterable[str], kind: str, **body: typing.Any) -> None:
         """The same record to several processes, packed once."""
@@ -78,7 +78,7 @@
 
     def subscribe(self, kind, call, part=None):
         """Calls call(sender, body) in this environment's mailbox for records of a kind."""
-        self.peers.subscribe(kind, part, lambda who, body: self.post(lambda: call(who, body)))
+        self.peers.subscribe(kind, part, lambda sender, body: self.post(lambda: call(sender, body)))
 
     def releases(self) -> dict[str, int]:
         """Peer -> the release of the records that it speaks, of those connected now."""
--- a/mothshed/programs/keep.py
+++ b/mothshed/programs/keep.py
@@ -6,7 +6,7 @@
 import cappa
 
 import mothshed.control_plane.keeper as keeper_module
-import mothshed.programs.process as process
+import mothshed.programs.daemon_flags as daemon_flags
 import mothshed.programs.serving as serving
 import mothshed.runtime.log_buffer as log_buffer
 
@@ -17,18 +17,18 @@
     "Example: mothshed-keep --settings keep.json --data /var/lib/mothshed",
 )
 @dataclasses.dataclass
-class Keep(process.Place):
+class Keep(daemon_flags.DaemonFlags):
     """The keeper daemon's flags; calling it runs the daemon."""
 
     def __call__(self):
-        settings = process.load(self, keeper=True)
-        process.run(lambda: keep(settings))
+        settings = daemon_flags.load_settings(self, keeper=True)
+        daemon_flags.run_daemon(lambda: keep(settings))
 
 
 def keep(settings: dict[str, typing.Any]) -> None:
-    """Run a keeper until it is asked to stop; raises serving.ProgramEnd or DiskFault."""
-    make = serving.environments(settings)
-    keeper = keeper_module.Keeper(make(), settings, make, serving.open_disk(settings["data"]))
+    """Run a keeper until it is asked to stop; raises serving.DaemonExit or DiskFault."""
+    new_environment = serving.environment_factory(settings)
+    keeper = keeper_module.Keeper(new_environment(), settings, new_environment, serving.open_disk(settings["data"]))
     log_buffer.attach_journal(keeper.journal)
     keeper.run()
     serving.serve(keeper.front(), keeper.drain)
--- a/mothshed/programs/logs.py
+++ b/mothshed/programs/logs.py
@@ -7,7 +7,7 @@
 Moments are the machines' own wall clocks: lines of two machines may stand in the
 wrong order by as much as these differ.
 
->>> line({"timestamp": 0.5, "message_type": "free", "process": "route-1", "outcome": "done", "task_uuid": "x"})
+>>> format_row({"timestamp": 0.5, "message_type": "free", "process": "route-1", "outcome": "done", "task_uuid": "x"})
 '1970-01-01T00:00:00.500Z route-1 free outcome=done'
 """
 
@@ -15,25 +15,25 @@
 import json
 import pathlib
 
-HEAD = ("timestamp", "message_type", "process")
-EXTRA = ("task_uuid", "task_level")  # eliot's own marks; nothing here makes tasks of several messages
+LEADING_FIELDS = ("timestamp", "message_type", "process")
+ELIOT_FIELDS = ("task_uuid", "task_level")  # eliot's own marks; nothing here makes tasks of several messages
 
 
-def moment_of(row):
+def timestamp_of(row):
     """Raises if the row has none that is a time."""
     return datetime.datetime.fromtimestamp(row["timestamp"], datetime.UTC)
 
 
-def row_of(text, boots):
-    """The log row that a line of a file holds, or None. boots: process -> when it counts from, kept up here."""
+def parse_row(text, boot_times):
+    """The log row that a line of a file holds, or None. boot_times: process -> when it counts from, kept up here."""
     try:
         row = json.loads(text)
         name = row.get("process")
         if "timestamp" not in row:
-            row["timestamp"] = boots[name] + row.pop("at")
+            row["timestamp"] = boot_times[name] + row.pop("at")
         elif "at" in row:
-            boots[name] = row["timestamp"] - row["at"]
-        moment_of(row)
+            boot_times[name] = row["timestamp"] - row["at"]
+        timestamp_of(row)
         return row if "message_type" in row else None
     except (ValueError, TypeError, KeyError, AttributeError, OverflowError, OSError, RecursionError):
         return None
@@ -41,28 +41,30 @@
 
 def read(paths, request=None):
     """(rows by time, lines passed over); request: only the rows of that request id. Raises OSError."""
-    rows, over = [], 0
+    rows, skipped = [], 0
     for path in paths:
-        boots = {}
+        boot_times = {}
         with pathlib.Path(path).open(errors="replace") as file:
             for text in file:
-                row = row_of(text, boots)
+                row = parse_row(text, boot_times)
                 if row is None:
-                    over += bool(text.strip())
+                    skipped += bool(text.strip())
                 elif request is None or row.get("request") == request:
                     rows.append(row)
-    return sorted(rows, key=lambda row: row["timestamp"]), over
+    return sorted(rows, key=lambda row: row["timestamp"]), skipped
 
 
-def plain(value):
+def format_value(value):
     """A value on one line: text as it is while it has neither spaces nor quotes."""
     if isinstance(value, str) and value and value.isprintable() and not set(value) & set(' "='):
         return value
     return json.dumps(value)
 
 
-def line(row):
+def format_row(row):
     """Give a row as one line: moment, process, kind and its other fields."""
-    fields = [f"{k}={plain(v)}" for k, v in row.items() if k not in HEAD + EXTRA]
-    moment = moment_of(row).isoformat(timespec="milliseconds").replace("+00:00", "Z")
-    return " ".join([moment, row.get("process") or "-", str(row["message_type"]), *fields])
+    fields = [
+        f"{field}={format_value(value)}" for field, value in row.items() if field not in LEADING_FIELDS + ELIOT_FIELDS
+    ]
+    timestamp = timestamp_of(row).isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    return " ".join([timestamp, row.get("process") or "-", str(row["message_type"]), *fields])
--- a/mothshed/programs/operate.py
+++ b/mothshed/programs/operate.py
@@ -10,10 +10,10 @@
 
 import cappa
 
-import mothshed.programs.ask as ask
 import mothshed.programs.logs as logs_module
 import mothshed.programs.operate_configuration as operate_configuration
 import mothshed.programs.operate_keys as operate_keys
+import mothshed.programs.operator_client as operator_client
 
 
 @cappa.command(name="condition", help="Shows the condition of a router or keeper by its HTTP address.")
@@ -24,8 +24,8 @@
     address: str
 
     def __call__(self):
-        status, said = ask.any_of([self.address], "GET", "/condition")
-        operate_configuration.show(said)
+        status, answer = operator_client.first_answer([self.address], "GET", "/condition")
+        operate_configuration.print_json(answer)
         if status != 200:
             raise cappa.Exit(code=1)
 
@@ -40,13 +40,13 @@
 
     def __call__(self):
         try:
-            rows, over = logs_module.read(self.files, self.request or None)
-        except OSError as e:
-            raise cappa.Exit(f"{e.filename}: {e.strerror}", code=2) from e
+            rows, skipped = logs_module.read(self.files, self.request or None)
+        except OSError as error:
+            raise cappa.Exit(f"{error.filename}: {error.strerror}", code=2) from error
         for row in rows:
-            print(logs_module.line(row))
-        if over:
-            print(f"{over} lines were no log lines", file=sys.stderr)
+            print(logs_module.format_row(row))
+        if skipped:
+            print(f"{skipped} lines were no log lines", file=sys.stderr)
 
 
 @cappa.command(
@@ -73,21 +73,21 @@
     def __call__(self):
         import tools.runbook as runbook  # a tool, only needed here
 
-        wrong = [s for s in self.set if "=" not in s]
-        if wrong:
-            raise cappa.Exit(f"--set takes name=value, not {wrong[0]!r}", code=2)
+        malformed = [text for text in self.set if "=" not in text]
+        if malformed:
+            raise cappa.Exit(f"--set takes name=value, not {malformed[0]!r}", code=2)
         try:
-            given = dict(s.split("=", 1) for s in self.set)
-            run = runbook.Run(runbook.load(self.book), given, self.keeper, self.router, by_hand)
+            parameters = dict(text.split("=", 1) for text in self.set)
+            run = runbook.Run(runbook.load(self.book), parameters, self.keeper, self.router, wait_for_manual_step)
             run.go(self.dry_run)
-        except runbook.BookFault as e:
-            raise cappa.Exit(str(e), code=2) from e
-        except runbook.StepFailed as e:
-            raise cappa.Exit(f"stopped: {e}", code=1) from e
+        except runbook.BookFault as error:
+            raise cappa.Exit(str(error), code=2) from error
+        except runbook.StepFailed as error:
+            raise cappa.Exit(f"stopped: {error}", code=1) from error
         print("done" if not self.dry_run else "dry run: nothing was done")
 
 
-def by_hand(text):
+def wait_for_manual_step(text):
     """Wait until the operator has done a step by hand."""
     input(f"       {text}\n       press Enter when it is done ")
 
--- a/mothshed/programs/operate_configuration.py
+++ b/mothshed/programs/operate_configuration.py
@@ -14,8 +14,8 @@
 import mothshed.configuration.document as configuration
 import mothshed.configuration.document_change as document_change
 import mothshed.configuration.manifests as manifests
-import mothshed.programs.ask as ask
 import mothshed.programs.document_file as document_file
+import mothshed.programs.operator_client as operator_client
 
 Keepers = typing.Annotated[
     list[str],
@@ -23,7 +23,7 @@
 ]
 
 
-def show(body: typing.Any) -> None:
+def print_json(body: typing.Any) -> None:
     """Print an answer as indented JSON."""
     print(json.dumps(body, indent=2))
 
@@ -37,9 +37,9 @@
 
     def __call__(self) -> None:
         """Print every fault and exit with 2, or say that the document is valid."""
-        found = configuration.validation_errors(document_file.read(self.file))
-        if found:
-            raise cappa.Exit("\n".join(found), code=2)
+        errors = configuration.validation_errors(document_file.read(self.file))
+        if errors:
+            raise cappa.Exit("\n".join(errors), code=2)
         print("valid")
 
 
@@ -56,11 +56,11 @@
     def __call__(self) -> None:
         """Send the document; exit with the codes above unless it is acknowledged."""
         document = document_file.read(self.file)
-        found = configuration.validation_errors(document)
-        if found:
-            raise cappa.Exit("nothing was applied:\n" + "\n".join(found), code=2)
-        code, said = ask.apply(self.keeper, self.base, document, self.by, secrets.token_hex(8))
-        show(said)
+        errors = configuration.validation_errors(document)
+        if errors:
+            raise cappa.Exit("nothing was applied:\n" + "\n".join(errors), code=2)
+        code, answer = operator_client.apply_document(self.keeper, self.base, document, self.by, secrets.token_hex(8))
+        print_json(answer)
         if code:
             raise cappa.Exit(code=code)
 
@@ -77,16 +77,16 @@
 
     def __call__(self) -> None:
         """Send the change; exit with the codes above unless it is acknowledged."""
-        said = document_file.read(self.file)
-        unknown = sorted(set(said) - {"put", "remove"}) if isinstance(said, dict) else ["document"]
+        change = document_file.read(self.file)
+        unknown = sorted(set(change) - {"put", "remove"}) if isinstance(change, dict) else ["document"]
         if unknown:
             raise cappa.Exit("nothing was applied: expected put and remove, not " + ", ".join(unknown), code=2)
         try:
-            document_change.parse_change(said.get("put", {}), said.get("remove", {}))
-        except document_change.ChangeError as e:
-            raise cappa.Exit("nothing was applied:\n" + "\n".join(e.errors), code=2) from e
-        code, answer = ask.change(self.keeper, self.base, said, self.by, secrets.token_hex(8))
-        show(answer)
+            document_change.parse_change(change.get("put", {}), change.get("remove", {}))
+        except document_change.ChangeError as error:
+            raise cappa.Exit("nothing was applied:\n" + "\n".join(error.errors), code=2) from error
+        code, answer = operator_client.change_items(self.keeper, self.base, change, self.by, secrets.token_hex(8))
+        print_json(answer)
         if code:
             raise cappa.Exit(code=code)
 
@@ -100,7 +100,7 @@
 
     def __call__(self) -> None:
         """Print the documents and who has acknowledged them."""
-        read(self.keeper, "/configuration")
+        print_answer(self.keeper, "/configuration")
 
 
 @cappa.command(name="history", help="Shows the accepted documents, oldest first.")
@@ -112,13 +112,13 @@
 
     def __call__(self) -> None:
         """Print the accepted documents that are kept."""
-        read(self.keeper, "/configuration/history")
+        print_answer(self.keeper, "/configuration/history")
 
 
-def read(keepers: list[str], path: str) -> None:
+def print_answer(keepers: list[str], path: str) -> None:
     """Print what the keepers answer; end with code 1 if that is no success."""
-    status, said = ask.any_of(keepers, "GET", path)
-    show(said)
+    status, answer = operator_client.first_answer(keepers, "GET", path)
+    print_json(answer)
     if status != 200:
         raise cappa.Exit(code=1)
 
@@ -133,9 +133,9 @@
     def __call__(self) -> None:
         """Print the document, or exit with 2 and what is wrong with the manifest."""
         try:
-            show(manifests.translate(pathlib.Path(self.file).read_text()))
-        except (OSError, manifests.ManifestError) as e:
-            raise cappa.Exit(f"{self.file}: {e}", code=2) from e
+            print_json(manifests.translate(pathlib.Path(self.file).read_text()))
+        except (OSError, manifests.ManifestError) as error:
+            raise cappa.Exit(f"{self.file}: {error}", code=2) from error
 
 
 @cappa.command(name="config", help="The configuration: check, apply, change, show, history, from-manifest.")
--- a/mothshed/programs/operate_keys.py
+++ b/mothshed/programs/operate_keys.py
@@ -16,8 +16,8 @@
 
 import mothshed.configuration.tenant_keys as tenant_keys
 import mothshed.constants as constants
-import mothshed.programs.ask as ask
 import mothshed.programs.operate_configuration as operate_configuration
+import mothshed.programs.operator_client as operator_client
 
 Keepers = operate_configuration.Keepers
 Tenant = dict[str, typing.Any]
@@ -50,14 +50,14 @@
 
 def read_tenants(keepers: list[str]) -> tuple[int, dict[str, Tenant]]:
     """The newest sequence and its tenants by name; ends the command if they can't be had."""
-    status, said = ask.any_of(keepers, "GET", "/configuration")
+    status, answer = operator_client.first_answer(keepers, "GET", "/configuration")
     if status != 200:
-        operate_configuration.show(said)
+        operate_configuration.print_json(answer)
         raise cappa.Exit(code=1)
-    document = said.get("latest_document")
+    document = answer.get("latest_document")
     if not isinstance(document, dict):
         raise cappa.Exit("these keepers hold no configuration of mothshed's own form", code=1)
-    return said["latest"], document["tenants"]
+    return answer["latest"], document["tenants"]
 
 
 def change_digests(
@@ -71,15 +71,15 @@
     if tenant not in tenants:
         raise cappa.Exit(f"nothing was applied: there is no tenant {tenant!r}", code=2)
     digests = changed(list(tenants[tenant].get("keys", ())))
-    items = {"put": {"tenants": {tenant: {**tenants[tenant], "keys": digests}}}}
-    code, answer = ask.change(keepers, base, items, by, secrets.token_hex(8))
-    operate_configuration.show(answer)
+    change = {"put": {"tenants": {tenant: {**tenants[tenant], "keys": digests}}}}
+    code, answer = operator_client.change_items(keepers, base, change, by, secrets.token_hex(8))
+    operate_configuration.print_json(answer)
     if code:
         raise cappa.Exit(code=code)
     return digests
 
 
-def checked_digest(text: str) -> str:
+def validated_digest(text: str) -> str:
     """The digest that was given; ends the command if it is none, without showing it: it may be a key."""
     if not DIGEST.match(text):
         length = 2 * constants.KEY_DIGEST_BYTES
@@ -122,7 +122,7 @@
     def __call__(self) -> None:
         """Print the tenants of the newest configuration."""
         sequence, tenants = read_tenants(self.keeper)
-        operate_configuration.show({"sequence": sequence, "tenants": tenants})
+        operate_configuration.print_json({"sequence": sequence, "tenants": tenants})
 
 
 @cappa.command(name="add", help="Adds a key to a tenant, beside those that it has.")
@@ -137,7 +137,7 @@
 
     def __call__(self) -> None:
         """Send the change; exit with the codes above unless it is acknowledged."""
-        digest = checked_digest(self.digest)
+        digest = validated_digest(self.digest)
 
         def added(digests: Digests) -> Digests:
             if digest in digests:
@@ -159,7 +159,7 @@
 
     def __call__(self) -> None:
         """Send the change; exit with the codes above unless it is acknowledged."""
-        digest = checked_digest(self.digest)
+        digest = validated_digest(self.digest)
 
         def without(digests: Digests) -> Digests:
             if digest not in digests:
--- a/mothshed/programs/ask.py
+++ b/mothshed/programs/operator_client.py
@@ -10,17 +10,17 @@
 import mothshed.http.web as web
 
 
-def one(pool, method, url, body):
+def follow_redirects(pool, method, url, body):
     """Call one address and follow its redirects to the leader."""
-    for _hop in range(4):
-        status, said, goal = once(pool, method, url, body)
+    for _redirect in range(4):
+        status, answer, location = send_once(pool, method, url, body)
         if status != 307:
-            return status, said
-        url = goal
+            return status, answer
+        url = location
     return 503, {"error": {"message": "sent round in circles", "verdict": "not_run"}}
 
 
-def once(pool, method, url, body):
+def send_once(pool, method, url, body):
     """Call once; give status, answer and where a redirect leads."""
     response = pool.request(
         method,
@@ -33,11 +33,11 @@
     return response.status, response.json(), response.headers.get("location")
 
 
-def any_of(addresses, method, path, body=None):
+def first_answer(addresses, method, path, body=None):
     """(status, answer) of the first address that answers other than 503; rounds go on for MIN_QUERY_TIME_S seconds."""
     pool, last = urllib3.PoolManager(), (503, {"error": {"message": "no address answered", "verdict": "not_run"}})
-    calls, end = 0, time.monotonic() + constants.MIN_QUERY_TIME_S
-    while calls < constants.MIN_QUERY_ATTEMPTS or time.monotonic() < end:
+    calls, deadline = 0, time.monotonic() + constants.MIN_QUERY_TIME_S
+    while calls < constants.MIN_QUERY_ATTEMPTS or time.monotonic() < deadline:
         for address in addresses:
             last = attempt(pool, method, f"http://{address}{path}", body)
             if last[0] != 503:
@@ -52,43 +52,43 @@
 ) -> tuple[int, dict[str, typing.Any]]:
     """(status, answer) of one call; 503 and the reason if there is no answer."""
     try:
-        return one(pool, method, url, body)
-    except web.FAULTS as e:
-        return 503, {"error": {"message": f"{type(e).__name__}: {e}", "verdict": "may_have_run"}}
+        return follow_redirects(pool, method, url, body)
+    except web.FAULTS as error:
+        return 503, {"error": {"message": f"{type(error).__name__}: {error}", "verdict": "may_have_run"}}
 
 
-def apply(keepers, base, document, by, mark):
+def apply_document(keepers, base, document, by, change_id):
     """(exit code, answer) of applying a whole document."""
-    return send_order(keepers, "PUT", {"base": base, "document": document, "by": by, "id": mark})
+    return send_change(keepers, "PUT", {"base": base, "document": document, "by": by, "id": change_id})
 
 
-def change(
-    keepers: list[str], base: int, items: dict[str, typing.Any], by: str, mark: str
+def change_items(
+    keepers: list[str], base: int, items: dict[str, typing.Any], by: str, change_id: str
 ) -> tuple[int, dict[str, typing.Any]]:
     """(exit code, answer) of changing named items. items: `put` and `remove`, as for document_change.parse_change."""
-    return send_order(keepers, "PATCH", {**items, "base": base, "by": by, "id": mark})
+    return send_change(keepers, "PATCH", {**items, "base": base, "by": by, "id": change_id})
 
 
-def send_order(keepers: list[str], method: str, body: dict[str, typing.Any]) -> tuple[int, dict[str, typing.Any]]:
+def send_change(keepers: list[str], method: str, body: dict[str, typing.Any]) -> tuple[int, dict[str, typing.Any]]:
     """(exit code, answer). Sending the same id again is safe: it is accepted once."""
-    status, said, mark = 0, {}, body["id"]
-    for _turn in range(3):
-        status, said = any_of(keepers, method, "/configuration", body)
+    status, answer, change_id = 0, {}, body["id"]
+    for _attempt in range(3):
+        status, answer = first_answer(keepers, method, "/configuration", body)
         if status not in (503, 504):
             break
     if status in (503, 504):
-        query = urllib.parse.urlencode({"id": mark})
-        seen, past = any_of(keepers, "GET", f"/configuration/history?{query}")
-        sequence = past["taken"][mark] if seen == 200 else None
+        query = urllib.parse.urlencode({"id": change_id})
+        history_status, history = first_answer(keepers, "GET", f"/configuration/history?{query}")
+        sequence = history["taken"][change_id] if history_status == 200 else None
         if sequence is not None:
-            return 0, {"sequence": sequence, "id": mark}
-        return (6 if said.get("error", {}).get("verdict") == "may_have_run" else 1), said
-    return {200: 0, 409: 5, 400: 2}.get(status, 1), said
+            return 0, {"sequence": sequence, "id": change_id}
+        return (6 if answer.get("error", {}).get("verdict") == "may_have_run" else 1), answer
+    return {200: 0, 409: 5, 400: 2}.get(status, 1), answer
 
 
-def once_each(addresses, path, text=False):
+def fetch_each(addresses, path, text=False):
     """Map each address to what it answers now, or None; a 503 condition is an answer too."""
-    pool, found = urllib3.PoolManager(), {}
+    pool, answers = urllib3.PoolManager(), {}
     for address in addresses:
         try:
             response = pool.request(
@@ -98,7 +98,7 @@
                 retries=False,
                 timeout=urllib3.Timeout(connect=1.0, read=2.0),
             )
-            found[address] = response.data.decode() if text else response.json()
+            answers[address] = response.data.decode() if text else response.json()
         except web.FAULTS:
-            found[address] = None
-    return found
+            answers[address] = None
+    return answers
--- a/mothshed/programs/route.py
+++ b/mothshed/programs/route.py
@@ -7,7 +7,7 @@
 
 import mothshed.constants as constants
 import mothshed.data_plane.router as router_module
-import mothshed.programs.process as process
+import mothshed.programs.daemon_flags as daemon_flags
 import mothshed.programs.serving as serving
 import mothshed.runtime.log_buffer as log_buffer
 
@@ -17,17 +17,17 @@
     help="Routes requests: prefill, decode, free, relay. Example: mothshed-route --settings route.json",
 )
 @dataclasses.dataclass
-class Route(process.Place):
+class Route(daemon_flags.DaemonFlags):
     """The router daemon's flags; calling it runs the daemon."""
 
     def __call__(self):
-        settings = process.load(self)
-        process.run(lambda: route(settings))
+        settings = daemon_flags.load_settings(self)
+        daemon_flags.run_daemon(lambda: route(settings))
 
 
 def route(settings: dict[str, typing.Any]) -> None:
-    """Run a router until it is asked to stop; raises serving.ProgramEnd."""
-    router = router_module.Router(serving.environments(settings)(), settings)
+    """Run a router until it is asked to stop; raises serving.DaemonExit."""
+    router = router_module.Router(serving.environment_factory(settings)(), settings)
     log_buffer.attach_journal(router.journal)
     router.run()
     serving.serve(router.front(), lambda: router.drain(settings.get("drain_s", constants.DRAIN_TIMEOUT_S)))
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -20,7 +20,7 @@
 import mothshed.transport.peers as peers
 
 
-class ProgramEnd(Exception):
+class DaemonExit(Exception):
     """A daemon ends with this exit code; the text, if any, says why."""
 
     def __init__(self, code: int, reason: str = "") -> None:
@@ -28,22 +28,22 @@
         self.code = code
 
 
-def environments(settings):
+def environment_factory(settings):
     """A maker of environments that share one clock thread and one set of peers."""
     shared_timers = timers.Timers()
     try:
-        own = peers.Peers(settings["address"], settings.get("listen"))
-    except OSError as e:
-        raise ProgramEnd(3, f"cannot listen on {settings.get('listen') or settings['address']}: {e}") from e
-    return lambda: environment_module.Environment(shared_timers, own, settings["address"])
+        shared_peers = peers.Peers(settings["address"], settings.get("listen"))
+    except OSError as error:
+        raise DaemonExit(3, f"cannot listen on {settings.get('listen') or settings['address']}: {error}") from error
+    return lambda: environment_module.Environment(shared_timers, shared_peers, settings["address"])
 
 
-def serve_ready(address, path, ready):
+def serve_readiness(address, path, ready):
     """A front of its own that says on `path` whether this process wants requests."""
 
-    def app(environ, start):
-        good = environ["PATH_INFO"] == path and ready()
-        return front.respond(start, 200 if good else 503, {"ready": good})
+    def app(environ, start_response):
+        is_ready = environ["PATH_INFO"] == path and ready()
+        return front.respond(start_response, 200 if is_ready else 503, {"ready": is_ready})
 
     server = front.Server(address, app, constants.READINESS_SERVER_THREADS)
     threading.Thread(target=server.safe_start, daemon=True).start()
@@ -59,36 +59,36 @@
         try:
             disk.put("probe", b".")
             return disk
-        except disk_module.DiskFault as fault:
-            log_buffer.note("disk_refuses", reason=str(fault))
+        except disk_module.DiskFault as error:
+            log_buffer.note("disk_refuses", reason=str(error))
             sleep(constants.DISK_RETRY_INTERVAL_S)
 
 
-def serve(server, stop, reread=lambda: None):
-    """Serves until SIGTERM or SIGINT, then stop(); a second signal ends at once. SIGHUP: reread()."""
-    asked = threading.Event()
+def serve(server, stop, reload_settings=lambda: None):
+    """Serves until SIGTERM or SIGINT, then stop(); a second signal ends at once. SIGHUP: reload_settings()."""
+    stop_requested = threading.Event()
 
-    def on_signal(number, frame):
-        if asked.is_set():
+    def on_stop_signal(number, frame):
+        if stop_requested.is_set():
             sys.exit(1)
-        asked.set()
+        stop_requested.set()
 
-    def on_hup(number, frame):
+    def on_reload_signal(number, frame):
         try:
-            reread()
-        except settings_module.SettingsError as e:  # the old settings stand
-            log_buffer.note("settings_unreadable", reason=str(e))
+            reload_settings()
+        except settings_module.SettingsError as error:  # the old settings stand
+            log_buffer.note("settings_unreadable", reason=str(error))
 
-    signal.signal(signal.SIGHUP, on_hup)
-    signal.signal(signal.SIGTERM, on_signal)
-    signal.signal(signal.SIGINT, on_signal)
+    signal.signal(signal.SIGHUP, on_reload_signal)
+    signal.signal(signal.SIGTERM, on_stop_signal)
+    signal.signal(signal.SIGINT, on_stop_signal)
     try:
         server.prepare()
-    except OSError as e:
-        raise ProgramEnd(3, f"cannot listen on {server.bind_addr}: {e}") from e
+    except OSError as error:
+        raise DaemonExit(3, f"cannot listen on {server.bind_addr}: {error}") from error
     threading.Thread(target=server.serve, daemon=True).start()
-    asked.wait()
-    clean = stop()
+    stop_requested.wait()
+    completed = stop()
     server.stop()
     sys.stdout.flush()
-    raise ProgramEnd(0 if clean else 1)
+    raise DaemonExit(0 if completed else 1)
--- a/tests/platform_door.py
+++ b/tests/platform_nodes.py
@@ -12,7 +12,7 @@
 import tools.fleet as fleet
 
 
-class Door:
+class Nodes:
     """One keeper, one router that has its lease from there, and one replica."""
 
     def __init__(self, folder):
@@ -25,7 +25,7 @@
             made.append(platform_site.environment_module.Environment(environment.timers, environment.peers, place))
             return made[-1]
 
-        speech = platform_site.replica_speech.Speech()
+        speech = platform_site.replica_protocol.PlatformReplicaProtocol()
         speech.list_beat = 0.1
         settings = {
             "name": "k",
@@ -111,7 +111,7 @@
 
 @pytest.fixture(scope="module")
 def door(tmp_path_factory):
-    found = Door(tmp_path_factory.mktemp("data"))
+    found = Nodes(tmp_path_factory.mktemp("data"))
     yield found
     found.stop()
 
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -23,7 +23,7 @@
 sys.path.append(str(FOLDER))
 
 import operator_front  # noqa: E402 (found only through the folder added above)
-import replica_speech  # noqa: E402 (found only through the folder added above)
+import replica_protocol  # noqa: E402 (found only through the folder added above)
 
 ENGINE = {
     "berths": 8,
@@ -167,7 +167,7 @@
 class Site:
     def __init__(self):
         self.platform = stand_in.Platform()
-        speech = replica_speech.Speech()
+        speech = replica_protocol.PlatformReplicaProtocol()
         self.environment, self.lease, self.count, self.made = environment(), Lease(), 0, []
         settings = {
             "name": "r",
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -3,7 +3,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.programs.ask as ask
+import mothshed.programs.operator_client as operator_client
 
 KEEPERS = ["k1:1", "k2:1", "k3:1"]
 NO_LEADER = (503, {"error": {"message": "the configuration part has no leader now", "verdict": "not_run"}})
@@ -33,8 +33,8 @@
 @pytest.fixture
 def simulated(monkeypatch):
     def simulate(keepers):
-        monkeypatch.setattr(ask, "time", keepers)
-        monkeypatch.setattr(ask, "one", keepers.one)
+        monkeypatch.setattr(operator_client, "time", keepers)
+        monkeypatch.setattr(operator_client, "follow_redirects", keepers.one)
         return keepers
 
     return simulate
@@ -43,23 +43,23 @@
 @pytest.mark.parametrize("count", [1, 2, 3])
 def test_one_call_outlasts_an_election_with_any_number_of_keepers(simulated, count):
     simulated(Keepers(up_at=2.0, leader_at=4.0))
-    assert ask.any_of(KEEPERS[:count], "GET", "/configuration") == (200, {"sequence": 1})
+    assert operator_client.first_answer(KEEPERS[:count], "GET", "/configuration") == (200, {"sequence": 1})
 
 
 def test_a_document_is_accepted_by_keepers_that_start_slowly(simulated):
     keepers = simulated(Keepers(up_at=4.2, leader_at=5.6))
-    assert ask.apply(KEEPERS, 0, {}, "me", "first") == (0, {"sequence": 1})
+    assert operator_client.apply_document(KEEPERS, 0, {}, "me", "first") == (0, {"sequence": 1})
     assert keepers.now < 6.0
 
 
 def test_calls_to_keepers_without_a_leader_end_after_a_limited_time(simulated):
     keepers = simulated(Keepers(up_at=0.0, leader_at=1e9))
-    assert ask.any_of(KEEPERS, "GET", "/configuration") == NO_LEADER
+    assert operator_client.first_answer(KEEPERS, "GET", "/configuration") == NO_LEADER
     assert constants.MIN_QUERY_TIME_S <= keepers.now < constants.MIN_QUERY_TIME_S + 2 * constants.QUERY_RETRY_INTERVAL_S
 
 
 def test_slow_failures_end_after_the_minimum_number_of_calls(simulated):
     keepers = simulated(Keepers(up_at=1e9, leader_at=1e9, cost=1.0))
-    status, body = ask.any_of(KEEPERS, "GET", "/configuration")
+    status, body = operator_client.first_answer(KEEPERS, "GET", "/configuration")
     assert (status, body["error"]["verdict"]) == (503, "may_have_run")
     assert len(keepers.calls) == constants.MIN_QUERY_ATTEMPTS
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-import mothshed.programs.ask as ask
+import mothshed.programs.operator_client as operator_client
 import tools.simulator.fleet as sim
 
 
@@ -92,12 +92,12 @@
 def test_apply_resolves_unknown_results_by_reading_the_history(monkeypatch, put, taken, code):
     calls = []
 
-    def any_of(addresses, method, path, body=None):
+    def first_answer(addresses, method, path, body=None):
         calls.append((method, path, body and body["id"]))
         return put if method == "PUT" else (200, {"rows": [], "taken": taken})
 
-    monkeypatch.setattr(ask, "any_of", any_of)
-    assert ask.apply(["k"], 3, {}, "me", "mark")[0] == code
+    monkeypatch.setattr(operator_client, "first_answer", first_answer)
+    assert operator_client.apply_document(["k"], 3, {}, "me", "mark")[0] == code
     assert {mark for method, _, mark in calls if method == "PUT"} == {"mark"}  # repeats carry the same id
     reads = [path for method, path, _ in calls if method == "GET"]
     assert reads == (["/configuration/history?id=mark"] if put[0] in (503, 504) else [])
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -46,7 +46,7 @@
             stack.enter_context(line)
         rows = [
             callers.send(
-                environment_module.Tasks(),
+                environment_module.BlockingEnvironment(),
                 router,
                 "shift-notes",
                 callers.make("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -12,7 +12,7 @@
 import mothshed.data_plane.permits as permits
 import mothshed.runtime.log_buffer as log_buffer
 import mothshed.transport.records as records
-import tests.platform_door as platform_door
+import tests.platform_nodes as platform_nodes
 import tests.platform_site as platform_site
 
 KEY, MISTYPED = "zq7-secret-92cqf75rjvz48wuakn2f", "zq7-secret-mistyped"
@@ -163,7 +163,7 @@
 
 @pytest.fixture
 def nodes(tmp_path, log_file):
-    nodes = platform_door.Door(tmp_path / "data")
+    nodes = platform_nodes.Nodes(tmp_path / "data")
     log_buffer.attach_journal(nodes.router.journal)
     log_buffer.attach_journal(nodes.keeper.journal)
     yield nodes
@@ -208,7 +208,7 @@
 
 
 def test_the_keys_of_a_configuration_are_returned_to_its_operator_only(nodes, log_file, packed):
-    first = platform_door.document(3, senders=TENANTS)
+    first = platform_nodes.document(3, senders=TENANTS)
     assert nodes.put(first, 0).body == b'{"edition": 3}'
     assert patch(nodes, 3, deliver={"senders": [{"name": "late", "permits": [KEY + "-c"]}]}).status == 200
     platform_site.until(lambda: nodes.router.lease.sequence() == 4)
@@ -231,7 +231,7 @@
 
 def test_the_response_to_an_invalid_configuration_contains_no_key(nodes, log_file, packed):
     for name, rows in INVALID_SENDERS.items():
-        body = platform_door.document(3, senders=rows)
+        body = platform_nodes.document(3, senders=rows)
         responses = [
             nodes.put(body, 0),
             nodes.put(json.dumps(body).encode()[:-1], 0),
@@ -244,7 +244,7 @@
 
 
 def test_on_disk_a_key_appears_only_in_the_document_as_sent_by_the_operator(nodes):
-    assert nodes.put(platform_door.document(3, senders=TENANTS), 0).status == 200
+    assert nodes.put(platform_nodes.document(3, senders=TENANTS), 0).status == 200
     stored = nodes.keeper.members[0].machine.docs[3]["doc"]
     assert MARK in repr(stored["as_sent"])
     assert MARK not in repr({key: value for key, value in stored.items() if key != "as_sent"})
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -177,4 +177,4 @@
 
 def test_a_field_of_several_lines_stays_on_one():
     row = {"timestamp": 0.0, "message_type": "x", "process": "p", "error": "a\nb", "n": 3, "none": None, "empty": ""}
-    assert logs.line(row) == '1970-01-01T00:00:00.000Z p x error="a\\nb" n=3 none=null empty=""'
+    assert logs.format_row(row) == '1970-01-01T00:00:00.000Z p x error="a\\nb" n=3 none=null empty=""'
--- a/tests/test_operate_keys.py
+++ b/tests/test_operate_keys.py
@@ -10,8 +10,8 @@
 import mothshed.configuration.document as configuration
 import mothshed.configuration.tenant_keys as tenant_keys
 import mothshed.control_plane.operator_api as operator_api
-import mothshed.programs.ask as ask
 import mothshed.programs.operate as operate
+import mothshed.programs.operator_client as operator_client
 import tests.fronts as fronts
 import tests.operators as operators
 
@@ -27,18 +27,18 @@
     parts.leader_tasks = [types.SimpleNamespace(report=dict)]
     front, sent = operator_api.OperatorApi(parts), []
 
-    def any_of(_keepers, method, path, body=None):
+    def first_answer(_keepers, method, path, body=None):
         sent.append((method, path, body))
         status, _headers, said = fronts.call(front, method, path, body or b"")
         return status, said
 
-    monkeypatch.setattr(ask, "any_of", any_of)
+    monkeypatch.setattr(operator_client, "first_answer", first_answer)
     tenants = {name: {**row, "rate_per_s": 5} for name, row in configuration.EXAMPLE["tenants"].items()}
     tenants["riders"]["keys"] = [FORMER]
     document = {**configuration.EXAMPLE, "tenants": tenants, "require_key": True}
-    assert any_of([], "PUT", "/configuration", {"base": 0, "document": document, "id": "first"})[0] == 200
+    assert first_answer([], "PUT", "/configuration", {"base": 0, "document": document, "id": "first"})[0] == 200
     sent.clear()
-    return types.SimpleNamespace(member=member, sent=sent, any_of=any_of)
+    return types.SimpleNamespace(member=member, sent=sent, first_answer=first_answer)
 
 
 def run(*words):
@@ -145,9 +145,9 @@
     def overtaken(keepers, method, path, body=None):
         if method == "PATCH":
             other = {"put": {"tenants": {"others": {"share": 1}}}, "base": 1, "id": "other"}
-            assert keeper.any_of(keepers, "PATCH", "/configuration", other)[0] == 200
-        return keeper.any_of(keepers, method, path, body)
+            assert keeper.first_answer(keepers, "PATCH", "/configuration", other)[0] == 200
+        return keeper.first_answer(keepers, method, path, body)
 
-    monkeypatch.setattr(ask, "any_of", overtaken)
+    monkeypatch.setattr(operator_client, "first_answer", overtaken)
     assert run("key", "rotate", "riders", *KEEPER) == 5
     assert tenants(keeper)["riders"]["keys"] == [FORMER] and printed(capsys, "key") == []
--- a/tests/test_permits.py
+++ b/tests/test_permits.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-import tests.platform_door as platform_door
+import tests.platform_nodes as platform_nodes
 import tests.platform_site as platform_site
 import tests.platform_stand_in as stand_in
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def door(tmp_path):
-    found = platform_door.Door(tmp_path)
+    found = platform_nodes.Nodes(tmp_path)
     yield found
     found.stop()
 
@@ -28,7 +28,7 @@
 def put(door, **limits):
     """Put a configuration and wait until the router uses it."""
     base = door.latest()
-    assert door.put(platform_door.document(base + 1, senders=senders(**limits)), base).status == 200
+    assert door.put(platform_nodes.document(base + 1, senders=senders(**limits)), base).status == 200
     platform_site.until(lambda: door.router.lease.sequence() == base + 1)
 
 
--- a/tests/test_platform_configurations.py
+++ b/tests/test_platform_configurations.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-import tests.platform_door as platform_door
+import tests.platform_nodes as platform_nodes
 import tests.platform_site as platform_site
 
-door, base = platform_door.door, platform_door.base
+door, base = platform_nodes.door, platform_nodes.base
 
 
 def route_with(**change):
@@ -24,37 +24,37 @@
 
 
 def without(word, at):
-    found = platform_door.document(0)
+    found = platform_nodes.document(0)
     (found if at is None else found[at][0]).pop(word)
     return found
 
 
 INVALID = {
-    "unknown depot": platform_door.document(0, route_with(depot="nobody")),
-    "one of two depots unknown": platform_door.document(
+    "unknown depot": platform_nodes.document(0, route_with(depot="nobody")),
+    "one of two depots unknown": platform_nodes.document(
         0, route_with(dispatch=[{"depot": "one", "share": 1}, {"depot": "nobody", "share": 1}])
     ),
-    "an unknown depot without weight": platform_door.document(
+    "an unknown depot without weight": platform_nodes.document(
         0, route_with(dispatch=[{"depot": "one", "share": 1}, {"depot": "nobody", "share": 0}])
     ),
-    "weights add up to 0": platform_door.document(
+    "weights add up to 0": platform_nodes.document(
         0, route_with(dispatch=[{"depot": "one", "share": 0}, {"depot": "one", "share": 0}])
     ),
-    "a weight below 0": platform_door.document(
+    "a weight below 0": platform_nodes.document(
         0, route_with(dispatch=[{"depot": "one", "share": -1}, {"depot": "one", "share": 2}])
     ),
-    "deadline 0": platform_door.document(0, route_with(deadline_ms=0)),
-    "deadline below 0": platform_door.document(0, route_with(deadline_ms=-5)),
-    "deadline as text": platform_door.document(0, route_with(deadline_ms="8000")),
-    "two routes in one place": platform_door.document(0, *two(host="one.example")),
-    "two routes in one place, in other letters": platform_door.document(0, *two(host="ONE.example")),
-    "the last of many is wrong": platform_door.document(
+    "deadline 0": platform_nodes.document(0, route_with(deadline_ms=0)),
+    "deadline below 0": platform_nodes.document(0, route_with(deadline_ms=-5)),
+    "deadline as text": platform_nodes.document(0, route_with(deadline_ms="8000")),
+    "two routes in one place": platform_nodes.document(0, *two(host="one.example")),
+    "two routes in one place, in other letters": platform_nodes.document(0, *two(host="ONE.example")),
+    "the last of many is wrong": platform_nodes.document(
         0, *[platform_site.route(f"r{n}", f"h{n}", "one") for n in range(60)], route_with(deadline_ms=0)
     ),
-    "two depots of one name": platform_door.document(0, depots=[platform_site.depot("one")] * 2),
-    "depots are no list": platform_door.document(0, depots={"one": 1}),
-    "routes are no list": {**platform_door.document(0), "itineraries": "r-one"},
-    "a route is no object": {**platform_door.document(0), "itineraries": [7]},
+    "two depots of one name": platform_nodes.document(0, depots=[platform_site.depot("one")] * 2),
+    "depots are no list": platform_nodes.document(0, depots={"one": 1}),
+    "routes are no list": {**platform_nodes.document(0), "itineraries": "r-one"},
+    "a route is no object": {**platform_nodes.document(0), "itineraries": [7]},
     "no routes at all": without("itineraries", None),
     "no depots": without("depots", None),
     "no edition": without("edition", None),
@@ -62,18 +62,18 @@
     "without a prefix": without("prefix", "itineraries"),
     "without a deadline": without("deadline_ms", "itineraries"),
     "without a depot": without("depot", "itineraries"),
-    "two senders that share a key": platform_door.document(
+    "two senders that share a key": platform_nodes.document(
         0, senders=[sender("a", "k1", "k2"), sender("b", "k3", "k2")]
     ),
-    "two senders of one name": platform_door.document(0, senders=[sender("a", "k1"), sender("a", "k2")]),
-    "a sender without a name": platform_door.document(0, senders=[{"permits": ["k1"]}]),
-    "a sender without permits": platform_door.document(0, senders=[{"name": "a"}]),
-    "senders are no list": platform_door.document(0, senders={"a": ["k1"]}),
-    "permits are no list": platform_door.document(0, senders=[{"name": "a", "permits": "k1"}]),
-    "a permit is no text": platform_door.document(0, senders=[{"name": "a", "permits": [7]}]),
-    "a rate below 0": platform_door.document(0, senders=[sender("a", "k1", rate_per_s=-1)]),
-    "a rate as text": platform_door.document(0, senders=[sender("a", "k1", rate_per_s="5")]),
-    "a surge below 0": platform_door.document(0, senders=[sender("a", "k1", rate_per_s=1, surge=-1)]),
+    "two senders of one name": platform_nodes.document(0, senders=[sender("a", "k1"), sender("a", "k2")]),
+    "a sender without a name": platform_nodes.document(0, senders=[{"permits": ["k1"]}]),
+    "a sender without permits": platform_nodes.document(0, senders=[{"name": "a"}]),
+    "senders are no list": platform_nodes.document(0, senders={"a": ["k1"]}),
+    "permits are no list": platform_nodes.document(0, senders=[{"name": "a", "permits": "k1"}]),
+    "a permit is no text": platform_nodes.document(0, senders=[{"name": "a", "permits": [7]}]),
+    "a rate below 0": platform_nodes.document(0, senders=[sender("a", "k1", rate_per_s=-1)]),
+    "a rate as text": platform_nodes.document(0, senders=[sender("a", "k1", rate_per_s="5")]),
+    "a surge below 0": platform_nodes.document(0, senders=[sender("a", "k1", rate_per_s=1, surge=-1)]),
 }
 
 
@@ -87,36 +87,36 @@
 
 
 VALID = {
-    "no routes": {**platform_door.document(0), "itineraries": []},
+    "no routes": {**platform_nodes.document(0), "itineraries": []},
     "no caps": without("caps", None),
-    "caps without fields": platform_door.document(0, caps={}),
-    "one of several weights is 0": platform_door.document(
+    "caps without fields": platform_nodes.document(0, caps={}),
+    "one of several weights is 0": platform_nodes.document(
         0, route_with(dispatch=[{"depot": "one", "share": 0}, {"depot": "one", "share": 1}])
     ),
-    "no aim and no pause": platform_door.document(
+    "no aim and no pause": platform_nodes.document(
         0, {k: v for k, v in route_with().items() if k not in ("target_ms", "headway_ms")}
     ),
-    "the shortest and the longest": platform_door.document(
+    "the shortest and the longest": platform_nodes.document(
         0, *two(deadline_ms=1), route_with(host="three", name="r3", deadline_ms=600000, tries=9)
     ),
-    "one prefix on two hosts, one within another": platform_door.document(
+    "one prefix on two hosts, one within another": platform_nodes.document(
         0, *two(), *two(prefix="/p/q/")[1:], route_with(prefix="/", name="all")
     ),
-    "depots without engines, one unused": platform_door.document(
+    "depots without engines, one unused": platform_nodes.document(
         0, depots=[platform_site.depot("one", False), platform_site.depot("spare", False)]
     ),
-    "an engine without models": platform_door.document(
+    "an engine without models": platform_nodes.document(
         0, depots=[{**platform_site.depot("one"), "engine": {**platform_site.ENGINE, "models": []}}]
     ),
-    "all urgencies and kinds": platform_door.document(
+    "all urgencies and kinds": platform_nodes.document(
         0,
         *[
             route_with(host=f"h{n}", name=f"r{n}", urgency=n, kind=k, resumable=k == "stream")
             for n, k in enumerate(["stream", "once_only", "repeatable"] * 3 + ["stream"])
         ],
     ),
-    "three hundred routes": platform_door.document(0, *[route_with(host=f"h{n}", name=f"r{n}") for n in range(300)]),
-    "senders with keys, one with none, limits and without": platform_door.document(
+    "three hundred routes": platform_nodes.document(0, *[route_with(host=f"h{n}", name=f"r{n}") for n in range(300)]),
+    "senders with keys, one with none, limits and without": platform_nodes.document(
         0,
         senders=[
             sender("a", "k1", "k2", urgency=0, rate_per_s=2.5, surge=4),
@@ -124,10 +124,10 @@
             sender("c"),
         ],
     ),
-    "a key twice with one sender": platform_door.document(0, senders=[sender("a", "k1", "k1")]),
-    "no senders": platform_door.document(0, senders=[]),
-    "an unstamped route": platform_door.document(0, route_with(unstamped=True), senders=[sender("a", "k1")]),
-    "fields from the future": platform_door.document(
+    "a key twice with one sender": platform_nodes.document(0, senders=[sender("a", "k1", "k1")]),
+    "no senders": platform_nodes.document(0, senders=[]),
+    "an unstamped route": platform_nodes.document(0, route_with(unstamped=True), senders=[sender("a", "k1")]),
+    "fields from the future": platform_nodes.document(
         0, route_with(new=1), depots=[{**platform_site.depot("one"), "new": {}}], new=[]
     ),
 }
@@ -156,13 +156,14 @@
 def test_an_edition_that_does_not_rise_is_turned_away(door, base, edition):
     before = door.get()
     assert (
-        400 <= door.put(platform_door.document(edition(base), note="other"), base).status < 500 and door.get() == before
+        400 <= door.put(platform_nodes.document(edition(base), note="other"), base).status < 500
+        and door.get() == before
     )
 
 
 @pytest.mark.parametrize("cut", [0, 1, 0.1, 0.5, 0.9, -1])
 def test_what_cannot_be_read_whole_is_turned_away(door, base, cut):
-    data = json.dumps(platform_door.document(base + 1)).encode()
+    data = json.dumps(platform_nodes.document(base + 1)).encode()
     end = cut if isinstance(cut, int) else int(cut * len(data))
     before = door.get()
     assert 400 <= door.put(data[:end], base).status < 500 and door.get() == before
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -43,7 +43,7 @@
     }
 
 
-class RecordingProtocol(platform_site.replica_speech.Speech):
+class RecordingProtocol(platform_site.replica_protocol.PlatformReplicaProtocol):
     """Accepts and records every order."""
 
     def __init__(self):
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -10,7 +10,7 @@
 
 def test_sigterm_lets_streams_end_and_bounces_the_rest(tmp_path):
     with fleets.serving(tmp_path, 2, 2) as fleet:
-        environment, router, rows = environment_module.Tasks(), fleet.settings["route-1"]["http"], []
+        environment, router, rows = environment_module.BlockingEnvironment(), fleet.settings["route-1"]["http"], []
         call = {**callers.make(1, 1, ["dispatch"]), "tokens": 150, "stream": True, "kind": "question"}
 
         def send():
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -17,7 +17,7 @@
 import urllib3
 
 import mothshed.configuration.document as configuration
-import mothshed.programs.ask as ask
+import mothshed.programs.operator_client as operator_client
 import tools.deployments as deployments
 import tools.relay as relay
 
@@ -182,10 +182,10 @@
         return time.monotonic() - began
 
     def apply(self, base, body, mark):
-        return ask.apply(self.keepers(), base, body, "fleet", mark)
+        return operator_client.apply_document(self.keepers(), base, body, "fleet", mark)
 
     def config(self, path="/configuration"):
-        return ask.any_of(self.keepers(), "GET", path)[1]
+        return operator_client.first_answer(self.keepers(), "GET", path)[1]
 
     def leader(self, part=0):
         """The name of the keeper that leads a part, as its members say."""
--- a/tools/fleet_run.py
+++ b/tools/fleet_run.py
@@ -87,7 +87,7 @@
         hurt = fleet_faults.Faults(fleet, writes)
         hurt.plan(faults)
         calls = callers.traffic(seed, fleet.plan["tenants"], rate or fleet.plan["rate"], seconds, kinds)
-        load = callers.Load(environment_module.Tasks(), seed, fleet.routers(), body["model"], calls)
+        load = callers.Load(environment_module.BlockingEnvironment(), seed, fleet.routers(), body["model"], calls)
         rows = load.run()
         for thread in hurt.threads:
             thread.join(60)
--- a/tools/hollow/real.py
+++ b/tools/hollow/real.py
@@ -31,7 +31,7 @@
     bare = condition_of()
     import mothshed.constants as constants
     import mothshed.data_plane.router as router_module
-    import mothshed.programs.process  # noqa: F401 (weighed: what the program itself imports beside)
+    import mothshed.programs.daemon_flags  # noqa: F401 (weighed: what the program itself imports beside)
     import tools.hollow.design as design  # after the bare figure
     import tools.hollow.speech as speech_module
 
--- a/tools/hollow/speech.py
+++ b/tools/hollow/speech.py
@@ -8,7 +8,7 @@
 
 
 class Speech:
-    gives_roles, says_standing = True, False
+    reports_roles, announces_token = True, False
     tenant_field, system_fields = "x-tenant-name", frozenset()
 
     def rows(self, environment, url):
--- a/tools/runbook_verbs.py
+++ b/tools/runbook_verbs.py
@@ -9,8 +9,8 @@
 import re
 
 import mothshed.configuration.document as configuration
-import mothshed.programs.ask as ask
 import mothshed.programs.document_file as document_file
+import mothshed.programs.operator_client as operator_client
 
 CHECKS, DEEDS = {}, {}
 
@@ -26,11 +26,11 @@
 
 
 def condition(address):
-    return ask.once_each([address], "/condition").get(address)
+    return operator_client.fetch_each([address], "/condition").get(address)
 
 
 def keepers(book):
-    return {a: c for a, c in ask.once_each(book.keepers, "/condition").items() if c}
+    return {a: c for a, c in operator_client.fetch_each(book.keepers, "/condition").items() if c}
 
 
 @check
@@ -82,7 +82,7 @@
     parts = {row["part"] for c in found.values() for row in c["parts"]}
     if not parts or parts != {row["part"] for row in rows}:
         return "not every part has a leader that answers"
-    pages = ask.once_each(sorted({http for row in rows for http in row["seats"].values()}), "/condition")
+    pages = operator_client.fetch_each(sorted({http for row in rows for http in row["seats"].values()}), "/condition")
     for row in rows:
         for who, http in row["seats"].items():
             page = pages[http]
@@ -93,7 +93,7 @@
 
 @check
 def no_change_under_way(book):
-    status, said = ask.any_of(book.keepers, "GET", "/configuration")
+    status, said = operator_client.first_answer(book.keepers, "GET", "/configuration")
     if status != 200:
         return f"the configuration cannot be read: {said}"
     if said["active"] != said["latest"]:
@@ -104,7 +104,7 @@
 
 @check
 def sequence_known(book, sequence):
-    status, said = ask.any_of(book.keepers, "GET", "/configuration/history")
+    status, said = operator_client.first_answer(book.keepers, "GET", "/configuration/history")
     known = [r["sequence"] for r in said.get("rows", [])]
     return None if int(sequence) in known else f"sequence {sequence} is not in the history {known}"
 
@@ -120,8 +120,8 @@
     """Every router serves, under the active sequence, with both roles in sight."""
     if not book.routers:
         return "no --router was given"
-    status, said = ask.any_of(book.keepers, "GET", "/configuration")
-    for address, c in ask.once_each(book.routers, "/condition").items():
+    status, said = operator_client.first_answer(book.keepers, "GET", "/configuration")
+    for address, c in operator_client.fetch_each(book.routers, "/condition").items():
         if not c or not c["serving"]:
             return f"{address} does not serve"
         if c["sequence"] != said.get("active"):
@@ -145,14 +145,20 @@
 @check
 def replica_seen(book, name):
     """Every router would place requests upon it."""
-    blind = [a for a, c in ask.once_each(book.routers, "/condition").items() if not c or name not in c["replicas"]]
+    blind = [
+        a
+        for a, c in operator_client.fetch_each(book.routers, "/condition").items()
+        if not c or name not in c["replicas"]
+    ]
     return f"{name} is not usable at {blind}" if blind or not book.routers else None
 
 
 @check
 def replica_left_alone(book, name):
     """No router places requests upon it."""
-    using = [a for a, c in ask.once_each(book.routers, "/condition").items() if c and name in c["replicas"]]
+    using = [
+        a for a, c in operator_client.fetch_each(book.routers, "/condition").items() if c and name in c["replicas"]
+    ]
     return f"{name} is still placed upon at {using}" if using or not book.routers else None
 
 
@@ -164,13 +170,13 @@
 @deed
 def apply_again(book, sequence):
     """Applies an earlier document anew, as the newest sequence."""
-    status, said = ask.any_of(book.keepers, "GET", "/configuration/history")
+    status, said = operator_client.first_answer(book.keepers, "GET", "/configuration/history")
     row = next(r for r in said["rows"] if r["sequence"] == int(sequence))
     return applied(book, row["document"])
 
 
 def applied(book, document):
-    code, said = ask.apply(book.keepers, book.facts["active"], document, "runbook", book.mark())
+    code, said = operator_client.apply_document(book.keepers, book.facts["active"], document, "runbook", book.mark())
     if code:
         raise RuntimeError(f"not applied (exit {code}): {said}")
     return f"accepted as sequence {said['sequence']}"
@@ -180,7 +186,7 @@
 def count_bounces(book):
     """Says why requests were bounced, per router, and what each cause means."""
     lines = []
-    for address, text in ask.once_each(book.routers, "/metrics", text=True).items():
+    for address, text in operator_client.fetch_each(book.routers, "/metrics", text=True).items():
         rows = dict(re.findall(r"mothshed_bounce_(\w+)_total (\d+)", text or ""))
         lines += [f"{address}: {n} x {cause}: {MEANING.get(cause, '')}" for cause, n in sorted(rows.items())]
     return "\n".join(lines) or "no router has bounced a request"
--- a/tools/stand_in_replica.py
+++ b/tools/stand_in_replica.py
@@ -225,7 +225,7 @@
     parser.add_argument("--address", required=True)
     parser.add_argument("--ledger")
     args = parser.parse_args()
-    memory = replica_memory.Memory(environment_module.Tasks(), args.name, args.ledger)
+    memory = replica_memory.Memory(environment_module.BlockingEnvironment(), args.name, args.ledger)
     front.Server(args.address, Replica(memory, args.address), THREADS).safe_start()
 
 
