--- a/mothshed/configuration/document.py
+++ b/mothshed/configuration/document.py
@@ -26,10 +26,10 @@
 POLICIES = ("least_usage", "prefix_affinity")
 NAME = voluptuous.All(str, voluptuous.Length(min=1, max=100))
 NON_NEGATIVE_INTEGER = voluptuous.All(int, voluptuous.Range(min=0, max=10000))
-SECONDS = voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0.05, max=60))
+CUTOFF_S = voluptuous.All(voluptuous.Any(int, float), voluptuous.Range(min=0.05, max=60))
 LABELS = voluptuous.Any({}, {NAME: NAME})
 
-KIND = {"cutoff_s": SECONDS, voluptuous.Optional("first_token_s"): SECONDS}
+KIND = {"cutoff_s": CUTOFF_S, voluptuous.Optional("first_token_s"): CUTOFF_S}
 
 
 def number(value: object) -> int | float:
--- a/mothshed/configuration/document_change.py
+++ b/mothshed/configuration/document_change.py
@@ -116,9 +116,9 @@
         put, names = change.put.get(section, EMPTY_SECTION), change.remove.get(section, [])
         previous = document.get(section, [] if put.as_list else {})
         if isinstance(previous, list) and (put.as_list or not put.items):
-            result[section] = _changed_list(section, previous, put.items, names, errors)
+            result[section] = _apply_to_list(section, previous, put.items, names, errors)
         elif isinstance(previous, dict) and not put.as_list:
-            result[section] = _changed_object(section, previous, put.items, names, errors)
+            result[section] = _apply_to_object(section, previous, put.items, names, errors)
         elif isinstance(previous, list):
             errors.append(f"put.{section}: expected a list of items")
         else:
@@ -128,7 +128,7 @@
     return result
 
 
-def _changed_list(
+def _apply_to_list(
     section: str, previous: list[Item], items: dict[str, Item], names: list[str], errors: list[str]
 ) -> list[Item]:
     present = [_name_of(row) for row in previous]
@@ -143,7 +143,7 @@
     return name if isinstance(name, str) else ""
 
 
-def _changed_object(
+def _apply_to_object(
     section: str, previous: dict[str, Item], items: dict[str, Item], names: list[str], errors: list[str]
 ) -> dict[str, Item]:
     errors += _unknown_names(section, names, previous)
--- a/mothshed/configuration/document_difference.py
+++ b/mothshed/configuration/document_difference.py
@@ -39,7 +39,7 @@
     for section, value in newer.items():
         if section in base and same_json(base[section], value):
             continue
-        items = _items_changed(section, base.get(section), value)
+        items = _changed_items(section, base.get(section), value)
         if items is None:
             whole[section] = value
             continue
@@ -87,7 +87,7 @@
     return document_change.PutSection(rows, False)
 
 
-def _items_changed(section: str, previous: Section, value: Section) -> tuple[Section, list[str]] | None:
+def _changed_items(section: str, previous: Section, value: Section) -> tuple[Section, list[str]] | None:
     """The items to put and the names to remove; None if the section has to be sent whole."""
     if section not in NAMED_SECTIONS or type(previous) is not type(value):
         return None
--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -27,10 +27,10 @@
 
 
 class Lease:
-    def __init__(self, environment, keeper_addresses, changed=lambda: None):
+    def __init__(self, environment, keeper_addresses, notify_change=lambda: None):
         self.environment = environment
         self.keeper_addresses = keeper_addresses  # () -> addresses of keepers that may know the leader
-        self.changed = changed
+        self.notify_change = notify_change
         self.leader = ""
         self.docs = {}  # sequence -> document: the active and the staged ones
         self.previous_documents = {}  # the previously active document: differences to it may be in flight
@@ -213,7 +213,7 @@
         previous = self.published[0]
         self.published = (self.active, self.valid_until, self.docs.get(self.active))
         if previous != self.active:
-            self.changed()
+            self.notify_change()
 
     def sequence(self):
         """The sequence to serve now, or None without a lease."""
--- a/mothshed/configuration/manifests.py
+++ b/mothshed/configuration/manifests.py
@@ -44,14 +44,14 @@
 )
 
 
-def schema(api_version, kind, spec):
+def object_schema(api_version, kind, spec):
     return voluptuous.Schema(
         {"apiVersion": api_version, "kind": kind, "metadata": METADATA, "spec": spec}, required=True
     )
 
 
 SCHEMAS = {
-    "Gateway": schema(
+    "Gateway": object_schema(
         GATEWAY_API,
         "Gateway",
         {
@@ -61,12 +61,12 @@
             )
         },
     ),
-    "HTTPRoute": schema(
+    "HTTPRoute": object_schema(
         GATEWAY_API,
         "HTTPRoute",
         {voluptuous.Optional("parentRefs"): [METADATA], "rules": voluptuous.All([RULE], voluptuous.Length(min=1))},
     ),
-    "InferencePool": schema(
+    "InferencePool": object_schema(
         INFERENCE_API,
         "InferencePool",
         {
@@ -74,7 +74,7 @@
             **{k: v for k, v in configuration.POOL.items() if k != "selector"},
         },
     ),
-    "MothshedModel": schema(
+    "MothshedModel": object_schema(
         MOTHSHED_API,
         "MothshedModel",
         {"model": NAME, "kinds": {NAME: configuration.KIND}, "tenants": {NAME: configuration.TENANT}},
@@ -116,7 +116,7 @@
         "kinds": model["kinds"],
         "tenants": model["tenants"],
         "pools": pools,
-        "pairings": [pairing for rule in rules for pairing in pairings(rule)],
+        "pairings": [pairing for rule in rules for pairing in pairings_of_rule(rule)],
     }
     errors = configuration.validation_errors(document)
     if errors:
@@ -124,7 +124,7 @@
     return document
 
 
-def pairings(rule):
+def pairings_of_rule(rule):
     """The pairings of a rule, one per match: all headers of a match must apply, matches are alternatives."""
     base = {"pool": rule["backendRefs"][0]["name"], "policy": "least_usage"}
     if rule["filters"]:
--- a/mothshed/control_plane/config_leader_task.py
+++ b/mothshed/control_plane/config_leader_task.py
@@ -37,7 +37,7 @@
         )
         self.withheld_sequence = 0  # newest sequence for which leases of older ones were refused
         member.leader_tasks.append(self)
-        self.machine.changed = self.handle_change
+        self.machine.notify_change = self.handle_change
         self.environment.subscribe("ask", self.on_ask, 0)
         self.environment.subscribe("news_ack", self.on_news_ack, 0)
 
@@ -116,7 +116,7 @@
                 address
             )
         for missing, addresses in addresses_by_missing.items():
-            delivery = self.delivery.delivery(missing)
+            delivery = self.delivery.prepare(missing)
             self.environment.send_to_each(
                 addresses,
                 "news",
@@ -151,7 +151,7 @@
         entry = self.leaseholders.setdefault(
             sender, leaseholder.Leaseholder(staged=body["staged"], active=body["held"])
         )
-        delivery = self.delivery.delivery(entry.next_missing(self.machine, now))
+        delivery = self.delivery.prepare(entry.next_missing(self.machine, now))
         if length:
             entry.lease_end = max(entry.lease_end, now + length + constants.LEASE_CLOCK_MARGIN_S)
         self.environment.send(
--- a/mothshed/control_plane/config_machine.py
+++ b/mothshed/control_plane/config_machine.py
@@ -23,7 +23,7 @@
         self.latest = self.active = 0
         # sequence not active yet -> index of its log entry, or None if it was restored from a snapshot
         self.staged_log_index: dict[int, int | None] = {}
-        self.changed: collections.abc.Callable[[str, int], None] = lambda kind, sequence: None
+        self.notify_change: collections.abc.Callable[[str, int], None] = lambda kind, sequence: None
 
     def apply(self, index: int, command: Command) -> Result:
         """Apply a committed command; every member applies every command."""
@@ -33,7 +33,7 @@
             self.active = command["sequence"]
             self.staged_log_index = {s: entry for s, entry in self.staged_log_index.items() if s > self.active}
             self.drop_old_documents()
-            self.changed("activate", self.active)
+            self.notify_change("activate", self.active)
         return {"active": self.active}
 
     def known_result(self, command: Command) -> Result | None:
@@ -63,7 +63,7 @@
         self.accepted.add(command["id"], self.latest)
         self.staged_log_index[self.latest] = index
         self.drop_old_documents()
-        self.changed("stage", self.latest)
+        self.notify_change("stage", self.latest)
         return {"sequence": self.latest}
 
     def drop_old_documents(self) -> None:
--- a/mothshed/control_plane/document_delivery.py
+++ b/mothshed/control_plane/document_delivery.py
@@ -44,7 +44,7 @@
         self.delivered_documents: dict[int, Document] = {}
         self.differences: dict[tuple[int, int], document_difference.Difference | None] = {}
 
-    def delivery(self, missing: MissingDocuments) -> Delivery:
+    def prepare(self, missing: MissingDocuments) -> Delivery:
         """The documents and differences to send to a leaseholder that lacks these sequences."""
         delivery = Delivery([], [])
         for sequence in missing.sequences:
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -50,7 +50,7 @@
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
     self.drop_old_documents()
-    self.changed("stage", self.latest)
+    self.notify_change("stage", self.latest)
     return {"sequence": self.latest}
 
 
