--- a/tests/test_lease_changes.py
+++ b/tests/test_lease_changes.py
@@ -128,7 +128,7 @@
     pool, task, (lease,) = deployment()
     stage(task, 3)
     pool.waiting.clear()  # the difference was sent to the previous process, which has ended
-    pool.ears["r:0"] = {}
+    pool.handlers["r:0"] = {}
     successor = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:0", "next life"), lambda: ["a:1"])
     successor.request_lease()
     pool.deliver(0)
@@ -229,7 +229,7 @@
         elif step.startswith("ask"):
             leases[int(step[-1])].request_lease()
         elif step == "restart":
-            pool.ears["r:1"] = {}
+            pool.handlers["r:1"] = {}
             pool.time += 0.001
             leases[1] = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1", pool.time), lambda: ["a:1"])
         elif step == "leader":
--- a/tests/test_lease_restart.py
+++ b/tests/test_lease_restart.py
@@ -9,7 +9,7 @@
 
 def start(pool, life):
     """A router's lease that replaces the previous process at this address and receives its records."""
-    pool.ears[ADDRESS] = {}
+    pool.handlers[ADDRESS] = {}
     return lease_module.Lease(all_orders.ManualEnvironment(pool, ADDRESS, life), lambda: [KEEPER])
 
 
@@ -41,9 +41,9 @@
         ask(pool, after)
     pool.time += 1.0
     for body in late:
-        pool.ears[ADDRESS][("grant", 0)](KEEPER, body)
+        pool.handlers[ADDRESS][("grant", 0)](KEEPER, body)
     assert after.sequence() is None
-    pool.ears[ADDRESS][("grant", 0)](KEEPER, grant(ask(pool, after)))
+    pool.handlers[ADDRESS][("grant", 0)](KEEPER, grant(ask(pool, after)))
     assert after.sequence() == 3
 
 
@@ -54,7 +54,7 @@
         lease_module.log_buffer, "report", lambda kind, **fields: reported.append((kind, fields["missing_s"]))
     )
     lease = start(pool, "one life")
-    receive = pool.ears[ADDRESS][("grant", 0)]
+    receive = pool.handlers[ADDRESS][("grant", 0)]
     pool.time += 0.5
     receive(KEEPER, grant(ask(pool, lease)))
     pool.time += constants.LONG_LEASE_S + 1.0
