--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -1,8 +1,8 @@
-"""The router's HTTP front: completions, condition, metrics.
+"""The router's HTTP front for the completions interface: completions, condition and metrics.
 
-Every answer that is not a success says in JSON whether the request may have run.
-A stream's status goes out only with its first token, so that failures before it
-still get a status of their own.
+Every error response states in JSON whether the request may have run. The status of a
+stream is sent only with its first token, so that a failure before it still gets an
+error status.
 """
 
 import functools
@@ -20,10 +20,13 @@
 
 
 class CompletionsFront:
+    """The WSGI application of a router that serves the completions interface."""
+
     def __init__(self, router):
         self.router = router
 
     def __call__(self, environ, start):
+        """Dispatch one WSGI request by its path and method."""
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         if path in request_parsing.PATHS:
             if method != "POST":
@@ -37,13 +40,16 @@
         return front.fault(start, 404, f"no such path {path}")
 
     def condition(self, start):
+        """Respond with the router's state; status 503 while it does not serve."""
         condition = self.router.condition()
         return front.respond(start, 200 if condition["serving"] else 503, condition)
 
     def metrics(self, start):
+        """Respond with the counters in text form."""
         return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
 
     def complete(self, path, environ, start):
+        """Execute one completions request and respond with its result or failure."""
         router = self.router
         headers = front.headers_of(environ)
         headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
@@ -71,7 +77,7 @@
         return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
 
     def parse_request(self, path, environ, headers, caller):
-        """The request; its waits and cutoff count from when it arrived, not from when a thread was free."""
+        """Parse the request; its waits and cutoff count from its arrival, not from when a thread was free."""
         router = self.router
         arrived_at, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
         document = router.lease.document()
@@ -92,6 +98,7 @@
         return request
 
     def respond_failure(self, start, error, headers):
+        """Respond to a request that failed before its response began, and record its outcome in the journal."""
         request_id = headers.get("x-request-id", "")
         request_id = request_id if request_parsing.REQUEST_ID.match(request_id) else ""
         headers_out = [("X-Request-Id", request_id)] if request_id else []
@@ -126,6 +133,7 @@
 
 
 def make_chunk(request, text, finish_reason, created):
+    """Return one chunk of a streamed response as an object of the completions API."""
     if request.path == "/v1/chat/completions":
         choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
         kind = "chat.completion.chunk"
@@ -141,6 +149,7 @@
 
 
 def make_response(request, tokens):
+    """Return the complete response as an object of the completions API."""
     text, finish_reason = "".join(t for t, f in tokens), tokens[-1][1]
     response = make_chunk(request, text, finish_reason, int(time.time()))
     if request.path == "/v1/chat/completions":
@@ -153,7 +162,7 @@
 
 
 class EventStream:
-    """The body of a streamed answer. Raising in it breaks the stream visibly."""
+    """The body of a streamed response. An exception closes the connection without the end of the stream."""
 
     def __init__(self, router, request, first, execution):
         self.router, self.request, self.execution = router, request, execution
@@ -168,6 +177,7 @@
         return next(self.encoded_events)
 
     def encode_events(self, first):
+        """Yield the encoded events of the stream, the end marker last; sets the outcome."""
         created = int(time.time())
         try:
             yield self.encode_event(first, created)
@@ -180,9 +190,11 @@
         self.outcome = "done"
 
     def encode_event(self, token, created):
+        """Return one server-sent event."""
         return b"data: " + json.dumps(make_chunk(self.request, *token, created)).encode() + b"\n\n"
 
     def close(self):
+        """End the execution, called by the server when the response is sent or broken off; record its outcome."""
         if self.open:
             self.open = False
             self.execution.close()
