--- a/tests/log_crashes.py
+++ b/tests/log_crashes.py
@@ -48,7 +48,7 @@
     return {
         "term": (log.term, log.vote),
         "base": (log.base, log.base_term),
-        "snap": log.snapshot,
+        "snapshot": log.snapshot,
         "entries": list(log.entries),
     }
 
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass
-class Stop:
+class Interruption:
     """A folder whose process was stopped at a call, and the states that its log may have."""
 
     folder: volatile_folder.VolatileFolder
@@ -80,7 +80,7 @@
     log: disk_log.PartLog  # as the stopped process had it; None if it was still opening it
 
 
-class Interrupt:
+class ErrorAtCall:
     """Raises an error at the n-th call that changes a file; counts them."""
 
     def __init__(self, at, make_error):
@@ -94,7 +94,7 @@
             raise self.make_error()
 
 
-def play(script, folder):
+def run_script(script, folder):
     """Plays the script; returns the log, how many writes were done, and whether none was interrupted."""
     log, done = None, 0
     try:
@@ -107,16 +107,18 @@
     return log, done, True
 
 
-def stops(script, make_error=volatile_folder.PowerLost, start=lambda: volatile_folder.VolatileFolder(), states=None):
+def interruptions(
+    script, make_error=volatile_folder.PowerLost, start=lambda: volatile_folder.VolatileFolder(), states=None
+):
     """Every Stop of this script, the last one after its end; `start` makes the folder to begin with."""
     states = states or states_during(script)
     for at in itertools.count(1):
         folder = start()
-        interrupt = folder.before_step = Interrupt(at, make_error)
-        log, done, finished = play(script, folder)
+        injected = folder.before_step = ErrorAtCall(at, make_error)
+        log, done, finished = run_script(script, folder)
         folder.before_step = lambda step, name: None
         allowed = states[done:] if finished else states[done : done + 2]
-        yield Stop(folder, interrupt.call, allowed, log)
+        yield Interruption(folder, injected.call, allowed, log)
         if finished:
             return
 
@@ -131,14 +133,16 @@
             yield folder_with_files(files)
 
 
-def check_interruption(stop):
+def check_interruption(interruption):
     """Opens the log after the stop, with power lost or not; returns how many cases were opened."""
     count = 0
-    for folder in itertools.chain(folders_after_power_loss(stop.folder), [stop.folder]):
+    for folder in itertools.chain(folders_after_power_loss(interruption.folder), [interruption.folder]):
         found = state(open_log(folder))
-        assert found in stop.allowed, f"stopped at {stop.call}: {found} is none of {stop.allowed}"
+        assert found in interruption.allowed, (
+            f"stopped at {interruption.call}: {found} is none of {interruption.allowed}"
+        )
         for later in folders_after_power_loss(folder):
-            assert state(open_log(later)) == found, f"stopped at {stop.call}: an opened state was lost"
+            assert state(open_log(later)) == found, f"stopped at {interruption.call}: an opened state was lost"
             count += 1
         count += 1
     return count
--- a/tests/peer_nodes.py
+++ b/tests/peer_nodes.py
@@ -11,7 +11,7 @@
 import tools.fleet as fleet
 
 RAW_PEER = "127.0.0.1:1"  # what a connection made by hand calls itself
-WAIT = 20.0  # s; longest wait for what must come
+TIMEOUT_S = 20.0  # s; longest wait for what must come
 
 
 class Clock:
@@ -29,9 +29,9 @@
 
     def __init__(self, clock=None):
         self.clock = clock or Clock()
-        self.taken, self.arrived = [], threading.Condition()
+        self.received, self.condition = [], threading.Condition()
         self.peers = peers.Peers(f"127.0.0.1:{fleet.free_port('127.0.0.1')}", now=self.clock)
-        self.peers.subscribe("ask", 0, self.take)
+        self.peers.subscribe("ask", 0, self.on_ask)
 
     @property
     def address(self):
@@ -41,17 +41,17 @@
     def loop(self):
         return self.peers.loop
 
-    def take(self, sender, body):
-        with self.arrived:
-            self.taken.append((sender, body["mark"]))
-            self.arrived.notify_all()
+    def on_ask(self, sender, body):
+        with self.condition:
+            self.received.append((sender, body["mark"]))
+            self.condition.notify_all()
 
-    def send(self, goal, mark):
-        self.peers.send(goal, "ask", part=0, mark=mark, held=0, staged=0)
+    def send(self, destination, mark):
+        self.peers.send(destination, "ask", part=0, mark=mark, held=0, staged=0)
 
     def wait_for(self, count):
-        with self.arrived:
-            assert self.arrived.wait_for(lambda: len(self.taken) >= count, WAIT), self.taken
+        with self.condition:
+            assert self.condition.wait_for(lambda: len(self.received) >= count, TIMEOUT_S), self.received
 
     def count(self, name):
         return self.peers.stats()[f"links_{name}"]
@@ -79,17 +79,17 @@
 @contextlib.contextmanager
 def raw_peer(node):
     """A connection to a node that has said hello as RAW_PEER, and one record that arrived."""
-    with socket.create_connection(link.parse_address(node.address), WAIT) as conn:
+    with socket.create_connection(link.parse_address(node.address), TIMEOUT_S) as conn:
         conn.sendall(records.pack("hello", address=RAW_PEER) + packed(1))
         node.wait_for(1)
         yield conn
 
 
-def until(condition):
+def wait_until(condition):
     """Wait for something that another thread brings about."""
-    end, event = time.monotonic() + WAIT, threading.Event()
+    deadline, event = time.monotonic() + TIMEOUT_S, threading.Event()
     while not condition():
-        assert time.monotonic() < end
+        assert time.monotonic() < deadline
         event.wait(0.005)
 
 
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -18,55 +18,57 @@
 
 
 def test_power_lost_at_every_call_of_every_write(segment_bytes):
-    count = sum(log_crashes.check_interruption(stop) for stop in log_crashes.stops(log_crashes.SCRIPT))
+    count = sum(
+        log_crashes.check_interruption(interruption) for interruption in log_crashes.interruptions(log_crashes.SCRIPT)
+    )
     assert count > 500
 
 
 def test_power_lost_at_every_call_of_opening(segment_bytes):
     """First the power goes in a write, then in the opening after it, then it opens whole."""
-    for stop in log_crashes.stops(log_crashes.SCRIPT):
-        for folder in log_crashes.folders_after_power_loss(stop.folder):
+    for interruption in log_crashes.interruptions(log_crashes.SCRIPT):
+        for folder in log_crashes.folders_after_power_loss(interruption.folder):
             files = folder.durable_state()
             found = log_crashes.state(log_crashes.open_log(folder))
             start = functools.partial(log_crashes.folder_with_files, files)
-            for again in log_crashes.stops([], start=start, states=[found, found]):
+            for again in log_crashes.interruptions([], start=start, states=[found, found]):
                 log_crashes.check_interruption(again)
 
 
 def test_a_process_killed_in_a_write_and_one_killed_in_opening_leave_it_to_the_third(segment_bytes):
-    for stop in log_crashes.stops(log_crashes.SCRIPT):
+    for interruption in log_crashes.interruptions(log_crashes.SCRIPT):
         for at in range(1, 5):
-            stop.folder.before_step = log_crashes.Interrupt(at, volatile_folder.PowerLost)
-            log_crashes.play([], stop.folder)
-            stop.folder.before_step = lambda step, name: None
-        log_crashes.check_interruption(stop)
+            interruption.folder.before_step = log_crashes.ErrorAtCall(at, volatile_folder.PowerLost)
+            log_crashes.run_script([], interruption.folder)
+            interruption.folder.before_step = lambda step, name: None
+        log_crashes.check_interruption(interruption)
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC], ids=errno.errorcode.get)
 def test_a_call_that_fails_at_every_step_leaves_before_or_after(segment_bytes, number):
-    for stop in log_crashes.stops(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
-        log_crashes.check_interruption(stop)
+    for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
+        log_crashes.check_interruption(interruption)
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC], ids=errno.errorcode.get)
 def test_after_a_fault_the_log_refuses_everything_until_opened_again(segment_bytes, number):
-    for stop in log_crashes.stops(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
-        if not (stop.log and stop.call):
+    for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
+        if not (interruption.log and interruption.call):
             continue
-        stop.folder.before_step = lambda step, name: pytest.fail(f"{step} {name} after a fault")
-        index = stop.log.last + 1
+        interruption.folder.before_step = lambda step, name: pytest.fail(f"{step} {name} after a fault")
+        index = interruption.log.last + 1
         for method, args in [
             ("put", ([log_crashes.entry(index, 9)],)),
             ("put_term", (9, "c/1")),
             ("put_snapshot", (log_crashes.snapshot(index, 9), index)),
         ]:
             with pytest.raises(disk_module.DiskError):
-                getattr(stop.log, method)(*args)
-        stop.folder.before_step = lambda step, name: None
-        log = log_crashes.open_log(stop.folder)
+                getattr(interruption.log, method)(*args)
+        interruption.folder.before_step = lambda step, name: None
+        log = log_crashes.open_log(interruption.folder)
         log.put([log_crashes.entry(log.last + 1, 9)])
-        stop.allowed = [log_crashes.state(log)]
-        log_crashes.check_interruption(stop)
+        interruption.allowed = [log_crashes.state(log)]
+        log_crashes.check_interruption(interruption)
 
 
 def test_a_disk_that_fills_at_any_byte_keeps_what_was_acknowledged(segment_bytes):
@@ -74,7 +76,7 @@
     for room in itertools.count():
         folder = volatile_folder.VolatileFolder()
         folder.room = room
-        _, done, whole = log_crashes.play(log_crashes.SCRIPT, folder)
+        _, done, whole = log_crashes.run_script(log_crashes.SCRIPT, folder)
         folder.room = None
         if whole:
             return
--- a/tests/test_disk_protections.py
+++ b/tests/test_disk_protections.py
@@ -73,15 +73,15 @@
     for attribute, value in changes.items():
         monkeypatch.setattr(leader, attribute, value)
     with pytest.raises((AssertionError, disk_module.DiskCorruptionError)):
-        for stop in log_crashes.stops(log_crashes.SCRIPT, states=states):
-            log_crashes.check_interruption(stop)
+        for interruption in log_crashes.interruptions(log_crashes.SCRIPT, states=states):
+            log_crashes.check_interruption(interruption)
 
 
 def test_without_a_new_file_at_opening_a_failed_sync_is_believed(monkeypatch):
     monkeypatch.setattr(disk_log.PartLog, "read_segment", log_crashes.read_segment_in_place)
     with pytest.raises((AssertionError, disk_module.DiskCorruptionError)):
-        for stop in log_crashes.stops(log_crashes.SCRIPT, lambda: OSError(errno.EIO, "refused")):
-            log_crashes.check_interruption(stop)
+        for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(errno.EIO, "refused")):
+            log_crashes.check_interruption(interruption)
 
 
 def test_without_refusing_after_a_fault_a_later_write_is_lost(monkeypatch):
--- a/tests/test_disk_walks.py
+++ b/tests/test_disk_walks.py
@@ -27,7 +27,9 @@
     stateful_step_count=25,
 )
 # stops at the first walk that breaks; which one that is depends on the modules loaded
-UNSHRUNK = hypothesis.settings(SETTINGS, max_examples=2000, phases=[hypothesis.Phase.generate], print_blob=False)
+UNSHRUNK_SETTINGS = hypothesis.settings(
+    SETTINGS, max_examples=2000, phases=[hypothesis.Phase.generate], print_blob=False
+)
 
 
 class Killed(volatile_folder.PowerLost):
@@ -49,7 +51,7 @@
 
     # --- writes, whole or interrupted ----------------------------------------
     def interrupt(self, at, make_error):
-        self.folder.before_step = log_crashes.Interrupt(at, make_error) if make_error else lambda step, name: None
+        self.folder.before_step = log_crashes.ErrorAtCall(at, make_error) if make_error else lambda step, name: None
 
     def expected_after(self, method, args):
         """The state after this write on a disk without faults."""
@@ -65,18 +67,18 @@
             getattr(self.log, method)(*args)
             allowed = [after]
         except disk_module.DiskError:
-            self.check_poisoned()
+            self.check_writes_refused()
             allowed = [before, after]
-        except volatile_folder.PowerLost as e:
+        except volatile_folder.PowerLost as error:
             allowed = [before, after]
-            if not isinstance(e, Killed):
+            if not isinstance(error, Killed):
                 self.folder.lose_power(random)
         self.interrupt(0, None)
         if len(allowed) > 1:
             self.log = log_crashes.open_log(self.folder)
         assert log_crashes.state(self.log) in allowed
 
-    def check_poisoned(self):
+    def check_writes_refused(self):
         with pytest.raises(disk_module.DiskError):
             self.log.put([log_crashes.entry(self.log.last + 1)])
 
@@ -90,7 +92,7 @@
             lambda: OSError(errno.ENOSPC, ""),
         ]
     )
-    chances = strategies.randoms(use_true_random=False)
+    random_sources = strategies.randoms(use_true_random=False)
 
     @stateful.rule(back=strategies.integers(0, 3), count=strategies.integers(1, 4), text=TEXTS, at=STEPS, fault=faults)
     def put(self, back, count, text, at, fault):
@@ -99,7 +101,7 @@
         entries = [log_crashes.entry(first + n, term, text) for n in range(count)]
         self.write("put", (entries,), at, fault, self.random)
 
-    @stateful.rule(random=chances)
+    @stateful.rule(random=random_sources)
     def fail_a_sync(self, random):
         """An append's sync fails, the log is opened again, and later the power goes."""
         first = self.log.last + 1
@@ -116,37 +118,37 @@
         index = max(self.log.base, self.log.last - below)
         if index == 0 or (self.log.snapshot and index < self.log.snapshot["index"]):
             return
-        snap = log_crashes.snapshot(index, self.log.term_at(index))
-        self.write("put_snapshot", (snap, index - behind), at, fault, self.random)
+        snapshot = log_crashes.snapshot(index, self.log.term_at(index))
+        self.write("put_snapshot", (snapshot, index - behind), at, fault, self.random)
 
     @stateful.rule(ahead=strategies.integers(0, 3), at=STEPS, fault=faults)
-    def put_snap_of_another(self, ahead, at, fault):
+    def put_snapshot_of_another_member(self, ahead, at, fault):
         index = self.log.last + ahead
         if index:
-            snap = log_crashes.snapshot(index, self.log.term + 1)
-            self.write("put_snapshot", (snap, index), at, fault, self.random)
+            snapshot = log_crashes.snapshot(index, self.log.term + 1)
+            self.write("put_snapshot", (snapshot, index), at, fault, self.random)
 
     # --- the process or the power goes between writes -------------------------
-    @stateful.initialize(random=chances)
-    def take_chances(self, random):
+    @stateful.initialize(random=random_sources)
+    def set_random(self, random):
         self.random = random
 
     @stateful.rule()
     def kill(self):
         self.reopen()
 
-    @stateful.rule(random=chances)
+    @stateful.rule(random=random_sources)
     def lose_power(self, random):
         self.folder.lose_power(random)
         self.reopen()
 
-    @stateful.rule(at=STEPS, fault=faults, lost=strategies.booleans(), random=chances)
-    def open_badly(self, at, fault, lost, random):
+    @stateful.rule(at=STEPS, fault=faults, power_lost=strategies.booleans(), random=random_sources)
+    def interrupt_opening(self, at, fault, power_lost, random):
         """An opening is interrupted, then the power may go as well."""
         self.interrupt(at, fault)
-        log_crashes.play([], self.folder)
+        log_crashes.run_script([], self.folder)
         self.interrupt(0, None)
-        if lost:
+        if power_lost:
             self.folder.lose_power(random)
         self.reopen()
 
@@ -181,4 +183,4 @@
     for attribute, value in changes.items():
         monkeypatch.setattr(leader, attribute, value)
     with pytest.raises((AssertionError, disk_module.DiskError)):
-        stateful.run_state_machine_as_test(LogWalk, settings=UNSHRUNK)
+        stateful.run_state_machine_as_test(LogWalk, settings=UNSHRUNK_SETTINGS)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -31,11 +31,11 @@
     one.send(two.address, 1)
     two.wait_for(1)
     clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
-    peer_nodes.until(lambda: one.links() == two.links() == 0)
+    peer_nodes.wait_until(lambda: one.links() == two.links() == 0)
     assert one.count("closed") + two.count("closed") == 2 and one.count("lost") + two.count("lost") == 0
     one.send(two.address, 2)
     two.wait_for(2)
-    assert two.taken == [(one.address, 1), (one.address, 2)]
+    assert two.received == [(one.address, 1), (one.address, 2)]
 
 
 def test_a_connection_in_use_stays(make_node):
@@ -45,8 +45,8 @@
         one.send(two.address, mark)
         two.wait_for(mark)
         clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S * 0.75
-        looked = one.loop.last_timeout_check
-        peer_nodes.until(lambda looked=looked: one.loop.last_timeout_check > looked)
+        checked_at = one.loop.last_timeout_check
+        peer_nodes.wait_until(lambda checked_at=checked_at: one.loop.last_timeout_check > checked_at)
     assert one.count("opened") == 1 and one.links() == 1
 
 
@@ -59,7 +59,7 @@
         node.wait_for(2)
         assert node.links() == 1  # it reads on until this side ends too
         conn.shutdown(socket.SHUT_WR)
-        peer_nodes.until(lambda: node.links() == 0)
+        peer_nodes.wait_until(lambda: node.links() == 0)
     assert node.count("closed") == 1
 
 
@@ -69,11 +69,11 @@
         text = "x" * 4_000_000  # more than both sockets hold
         node.peers.send(peer_nodes.RAW_PEER, "paid", request=text, replica="i")
         conn.shutdown(socket.SHUT_WR)
-        peer_nodes.until(lambda: peer_nodes.RAW_PEER not in node.loop.table.by_peer)
+        peer_nodes.wait_until(lambda: peer_nodes.RAW_PEER not in node.loop.table.by_peer)
         expected = records.pack("paid", request=text, replica="i")
         with conn.makefile("rb") as stream:
             assert stream.read() == expected
-    peer_nodes.until(lambda: node.links() == 0)
+    peer_nodes.wait_until(lambda: node.links() == 0)
     assert node.count("closed") == 1 and node.count("lost") == 0
 
 
@@ -89,7 +89,7 @@
             link = next(iter(node.loop.table.links))
             node.loop.table.stop_using(link)
             link.begin_close(clock())
-    peer_nodes.until(lambda: one.links() == two.links() == 0)
+    peer_nodes.wait_until(lambda: one.links() == two.links() == 0)
     assert one.count("lost") == two.count("lost") == 0
 
 
@@ -97,9 +97,9 @@
     node = make_node()
     with peer_nodes.raw_peer(node):
         node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
-        peer_nodes.until(lambda: not node.loop.table.by_peer)
+        peer_nodes.wait_until(lambda: not node.loop.table.by_peer)
         node.clock.seconds += transport_constants.PEER_ACK_TIMEOUT_S + 0.1
-        peer_nodes.until(lambda: node.links() == 0)
+        peer_nodes.wait_until(lambda: node.links() == 0)
     assert node.count("lost") == 1
 
 
@@ -108,7 +108,7 @@
     one.send(two.address, 1)
     two.wait_for(1)
     one.peers.stop()
-    peer_nodes.until(lambda: two.links() == 0)
+    peer_nodes.wait_until(lambda: two.links() == 0)
     with pytest.raises(OSError):
         socket.create_connection(link_module.parse_address(one.address), 5)
 
@@ -139,11 +139,11 @@
                 node.send(f"10.9.{number // 250}.{number % 250}:1", number)
             links, new_threads = node.links(), set(threading.enumerate()) - threads
             node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
-            peer_nodes.until(lambda: not node.loop.table.by_peer)
+            peer_nodes.wait_until(lambda: not node.loop.table.by_peer)
             descriptors = len(os.listdir("/proc/self/fd"))
             for conn in conns:
                 conn.shutdown(socket.SHUT_WR)
-            peer_nodes.until(lambda: node.links() == 0)
+            peer_nodes.wait_until(lambda: node.links() == 0)
             closed = descriptors - len(os.listdir("/proc/self/fd"))
         finally:
             for conn in conns:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -24,9 +24,9 @@
     two.wait_for(1)
     two.send(one.address, 2)
     one.wait_for(1)
-    assert two.taken == [(one.address, 1)] and one.taken == [(two.address, 2)]
-    held = one.loop.table.by_peer[two.address].sock
-    assert two.loop.table.by_peer[one.address].sock.getpeername() == held.getsockname()
+    assert two.received == [(one.address, 1)] and one.received == [(two.address, 2)]
+    existing = one.loop.table.by_peer[two.address].sock
+    assert two.loop.table.by_peer[one.address].sock.getpeername() == existing.getsockname()
     assert one.links() == two.links() == 1
 
 
@@ -35,17 +35,17 @@
     for mark in range(300):
         one.send(two.address, mark)
     two.wait_for(300)
-    assert [mark for _, mark in two.taken] == list(range(300))
+    assert [mark for _, mark in two.received] == list(range(300))
 
 
 def test_a_record_larger_than_the_socket_takes_goes_out_in_pieces(make_node):
     one, two = make_node(), make_node()
-    text, heard = "x" * 4_000_000, threading.Event()
-    two.peers.subscribe("paid", None, lambda sender, body: heard.set() if body["request"] == text else None)
+    text, received = "x" * 4_000_000, threading.Event()
+    two.peers.subscribe("paid", None, lambda sender, body: received.set() if body["request"] == text else None)
     one.peers.send(two.address, "paid", request=text, replica="i")
     one.send(two.address, 7)
     two.wait_for(1)
-    assert heard.is_set()
+    assert received.is_set()
 
 
 def test_a_lost_connection_is_made_anew(make_node):
@@ -53,7 +53,7 @@
     one.send(two.address, 1)
     two.wait_for(1)
     two.loop.table.by_peer[one.address].sock.shutdown(socket.SHUT_RDWR)
-    peer_nodes.until(lambda: one.links() == 0)
+    peer_nodes.wait_until(lambda: one.links() == 0)
     one.send(two.address, 2)
     two.wait_for(2)
     assert one.count("opened") == 2
@@ -64,9 +64,9 @@
     with socket.create_connection(link_module.parse_address(node.address), 5) as conn:
         conn.sendall(records.pack("hello", address="127.0.0.1:1") + peer_nodes.packed(1))
         node.wait_for(1)
-        held = node.loop.table.by_peer["127.0.0.1:1"].sock
+        existing = node.loop.table.by_peer["127.0.0.1:1"].sock
         link_module.set_socket_options(conn)
-        for sock in (held, conn):
+        for sock in (existing, conn):
             assert (
                 sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
                 == transport_constants.PEER_ACK_TIMEOUT_S * 1000
@@ -78,7 +78,7 @@
     node = make_node()
     gone = f"127.0.0.1:{fleet.free_port('127.0.0.1')}"
     node.send(gone, 1)
-    peer_nodes.until(lambda: node.links() == 0)
+    peer_nodes.wait_until(lambda: node.links() == 0)
     for mark in range(10):
         node.send(gone, mark)
     assert node.count("opened") == 1 and node.count("dropped") == 10
@@ -98,7 +98,7 @@
         node.send(address, 1)
         assert address in node.loop.table.by_peer
         node.clock.seconds += transport_constants.PEER_CONNECT_TIMEOUT_S + 0.1
-        peer_nodes.until(lambda: node.links() == 0)
+        peer_nodes.wait_until(lambda: node.links() == 0)
         for sock in waiting:
             sock.close()
     assert node.count("connect_failed") == 1
@@ -113,7 +113,7 @@
         latter.sendall(records.pack("hello", address="127.0.0.1:1") + peer_nodes.packed(2))
         node.wait_for(2)
         node.send("127.0.0.1:1", 3)
-        latter.settimeout(peer_nodes.WAIT)
+        latter.settimeout(peer_nodes.TIMEOUT_S)
         assert latter.recv(1000) == peer_nodes.packed(3, 0)
 
 
@@ -121,8 +121,8 @@
     node = make_node()
     node.peers.subscribe("paid", None, lambda sender, body: 1 / 0)
     with socket.create_connection(link_module.parse_address(node.address), 5) as conn:
-        spoils = records.pack("paid", request="r", replica="i")
-        conn.sendall(records.pack("hello", address="127.0.0.1:1") + spoils + peer_nodes.packed(1))
+        rejected_record = records.pack("paid", request="r", replica="i")
+        conn.sendall(records.pack("hello", address="127.0.0.1:1") + rejected_record + peer_nodes.packed(1))
         node.wait_for(1)
     assert node.count("record_fault") == 0
 
@@ -139,5 +139,5 @@
     one.peers.send_to_each([node.address for node in (one, *others)], "ask", part=0, mark=5, held=0, staged=0)
     for node in (one, *others):
         node.wait_for(1)
-        assert node.taken == [(one.address, 5)]
+        assert node.received == [(one.address, 5)]
     assert packed.count("ask") == 1
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -121,18 +121,18 @@
     """It closes at a hello with a further field, as its parser did; then it gets the hello that it knows."""
     node = make_node()
     with socket.create_server(("127.0.0.1", 0)) as server:
-        server.settimeout(peer_nodes.WAIT)
+        server.settimeout(peer_nodes.TIMEOUT_S)
         address = f"127.0.0.1:{server.getsockname()[1]}"
         known = records.CODEC.pack("hello", {"address": node.address}, 0)
         node.send(address, 1)
         with server.accept()[0] as conn:
-            conn.settimeout(peer_nodes.WAIT)
+            conn.settimeout(peer_nodes.TIMEOUT_S)
             with conn.makefile("rb") as stream:
                 assert stream.read(len(known)) != known
-        peer_nodes.until(lambda: node.links() == 0)
+        peer_nodes.wait_until(lambda: node.links() == 0)
         node.send(address, 2)
         with server.accept()[0] as conn:
-            conn.settimeout(peer_nodes.WAIT)
+            conn.settimeout(peer_nodes.TIMEOUT_S)
             expected = known + peer_nodes.packed(2, 0)
             with conn.makefile("rb") as stream:
                 assert stream.read(len(expected)) == expected
