--- a/mothshed/transport/known_addresses.py
+++ b/mothshed/transport/known_addresses.py
@@ -1,10 +1,10 @@
-"""Addresses that a keeper remembers in its data folder, and calls when they fall silent.
+"""Addresses that a keeper stores in its data folder and contacts again when they fall silent.
 
-A process is told three seeds once and for all, and all keepers may have been
-swapped for others since. So it is the keepers, who have disks, that remember whom
-they met and call those they have not heard of lately: a router that restarts
-knowing only dead seeds is found by them. A hint only; nothing agreed rests on it,
-and a disk that fails here is noted and no more.
+A process gets three seeds at its start, and all keepers may have been replaced since.
+Keepers have disks, so they store the addresses that they have exchanged records with and
+contact those that have been silent: a router that restarts with only dead seeds is found
+by them. The addresses are hints that no agreement depends on, so a failing disk is
+only logged.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 
 class KnownAddresses:
-    """The remembered addresses and when each was last heard of."""
+    """The stored addresses and when each was last heard from."""
 
     def __init__(self, environment, disk):
         self.environment, self.disk = environment, disk
@@ -25,26 +25,31 @@
         self.saved = self.read()
         self.last_contact = dict.fromkeys(
             self.saved, environment.now() - transport_constants.REDIAL_SILENCE_S
-        )  # address -> last heard
+        )  # address -> time of the last contact
 
     def read(self):
-        """The addresses last written; none if they cannot be read."""
+        """The addresses last written; an empty list if they cannot be read."""
         try:
             rows = json.loads(self.disk.read(FILE) or b"[]")
-            return sorted({str(a) for a in rows if ":" in str(a)})[: transport_constants.MAX_REMEMBERED_ADDRESSES]
+            addresses = {str(row) for row in rows if ":" in str(row)}
+            return sorted(addresses)[: transport_constants.MAX_REMEMBERED_ADDRESSES]
         except (ValueError, TypeError, disk_module.DiskError) as error:
             log_buffer.note("neighbours_unreadable", reason=str(error))
             return []
 
     def note_contact(self, address):
-        """Notes that a message from this address came now."""
+        """Records that a message from this address has arrived."""
         if address != self.environment.address:
             self.last_contact[address] = self.environment.now()
 
     def addresses_to_contact(self, view):
-        """A few of those not heard of lately, each in its turn; writes down what changed."""
+        """The next few silent addresses outside the view, in rotation; starts a write if the addresses changed."""
         now = self.environment.now()
-        self.last_contact = {a: t for a, t in self.last_contact.items() if now - t < transport_constants.ADDRESS_TTL_S}
+        self.last_contact = {
+            address: contact_at
+            for address, contact_at in self.last_contact.items()
+            if now - contact_at < transport_constants.ADDRESS_TTL_S
+        }
         while len(self.last_contact) > transport_constants.MAX_REMEMBERED_ADDRESSES:
             del self.last_contact[min(self.last_contact, key=self.last_contact.get)]
         if (
@@ -55,19 +60,20 @@
             self.writing, self.saved = True, sorted(self.last_contact)
             self.environment.spawn(lambda rows=self.saved: self.write(rows))
         silent = sorted(
-            a for a, t in self.last_contact.items() if now - t >= transport_constants.REDIAL_SILENCE_S and a not in view
+            address
+            for address, contact_at in self.last_contact.items()
+            if now - contact_at >= transport_constants.REDIAL_SILENCE_S and address not in view
         )
         self.rotation += transport_constants.MAX_REDIALS
-        return [
-            silent[(self.rotation + n) % len(silent)] for n in range(min(transport_constants.MAX_REDIALS, len(silent)))
-        ]
+        count = min(transport_constants.MAX_REDIALS, len(silent))
+        return [silent[(self.rotation + offset) % len(silent)] for offset in range(count)]
 
     def write(self, rows):
-        """Writes the addresses; a disk that fails is noted, and a later beat tries again."""
+        """Writes the addresses; a disk error is logged, and a later round tries again."""
         try:
             self.disk.put(FILE, json.dumps(rows).encode())
         except disk_module.DiskError as error:
             log_buffer.note("neighbours_unwritten", reason=str(error))
-            self.saved = []  # tried again on a later beat
+            self.saved = []  # differs from the known addresses, so that a later round writes again
         finally:
             self.writing, self.written_at = False, self.environment.now()
