--- a/mothshed/transport/gossip.py
+++ b/mothshed/transport/gossip.py
@@ -1,10 +1,10 @@
-"""Partial views shuffled between neighbours, and the hints that ride along.
+"""Gossip between nodes: shuffled partial views and hints.
 
-Each node keeps a bounded view of others and, every beat, swaps a part of it with
-its oldest neighbour. Hints (replica usage and cache, who is leaving, keepers'
-addresses) carry an age that grows on the way; the youngest counts and old ones
-die. Nothing that must be agreed on travels here: a keeper's address is only a
-place to ask, and the answer comes from the part's leader.
+Each node keeps a bounded partial view of the other nodes and, in every round, exchanges
+a sample of it with its oldest neighbour. Hints (load and prefix cache of replicas, which
+replicas are leaving, addresses of keepers) carry an age that grows as they are forwarded;
+the youngest hint wins and old ones expire. Nothing that needs consensus is gossiped: a
+keeper's address only says whom to ask, and the answer comes from the leader of the part.
 """
 
 import mothshed.constants as constants
@@ -12,111 +12,143 @@
 
 
 class Gossip:
-    def __init__(self, environment, name, kind, cell, seeds, replicas=None, memory=None):
-        self.environment, self.name, self.kind, self.cell = environment, name, kind, cell
-        self.seeds = [s for s in seeds if s != environment.address]
+    """Runs the shuffle protocol of one node and holds its partial view."""
+
+    def __init__(self, environment, name, kind, zone, seeds, replicas=None, known_addresses=None):
+        self.environment, self.name, self.kind, self.zone = environment, name, kind, zone
+        self.seeds = [seed for seed in seeds if seed != environment.address]
         self.replicas = replicas
         self.view = {}  # address -> {"age", "kind", "cell", "name"}
-        self.keeps = {}  # keeper address -> time last vouched for
-        self.routers = {}  # router address -> time last heard of, for a count only
+        self.keepers_last_seen = {}  # keeper address -> time of the latest hint
+        self.routers_last_seen = {}  # router address -> time last seen in a view; only counted
         self.rounds = 0
-        self.waiting = None  # neighbour asked in the last round
-        self.memory = memory  # of addresses, for those with a disk; see remembered.py
+        self.awaited_neighbour = None  # neighbour whose reply to the last round is pending
+        self.known_addresses = known_addresses  # KnownAddresses of a process with a data folder, or None
         environment.subscribe("shuffle", self.on_shuffle)
-        environment.post(self.tick)
+        environment.post(self.run_round)
 
-    def new_seeds(self, seeds):
-        """Other seeds than those told at the start."""
-        self.seeds = [s for s in seeds if s != self.environment.address]
+    def set_seeds(self, seeds):
+        """Replaces the seeds given at the start."""
+        self.seeds = [seed for seed in seeds if seed != self.environment.address]
 
-    def me(self):
-        return [self.environment.address, 0, self.kind, self.cell, self.name]
+    def own_row(self):
+        """This node as a row of a view."""
+        return [self.environment.address, 0, self.kind, self.zone, self.name]
 
-    def tick(self):
+    def run_round(self):
+        """Shuffles once, contacts silent known addresses, and schedules the next round with jitter."""
         self.shuffle()
-        if self.memory:
-            for goal in self.memory.to_call(set(self.view)):
-                self.greet(goal)
+        if self.known_addresses:
+            for destination in self.known_addresses.addresses_to_contact(set(self.view)):
+                self.send_view(destination)
         self.environment.call_later(
-            transport_constants.SHUFFLE_INTERVAL_S * (0.8 + 0.4 * self.environment.random.random()), self.tick
+            transport_constants.SHUFFLE_INTERVAL_S * (0.8 + 0.4 * self.environment.random.random()), self.run_round
         )
 
     def shuffle(self):
+        """Ages the view and sends a sample of it to the oldest neighbour, or to seeds."""
         self.rounds += 1
-        if self.waiting:  # it never answered: a suspect, let it go
-            self.view.pop(self.waiting, None)
-            self.waiting = None
+        if self.awaited_neighbour:  # it did not reply to the last round: assume that it failed
+            self.view.pop(self.awaited_neighbour, None)
+            self.awaited_neighbour = None
         for row in self.view.values():
             row["age"] += 1
-        for address in [a for a, r in self.view.items() if r["age"] > transport_constants.MAX_VIEW_AGE_SHUFFLES]:
+        expired = [
+            address for address, row in self.view.items() if row["age"] > transport_constants.MAX_VIEW_AGE_SHUFFLES
+        ]
+        for address in expired:
             del self.view[address]
-        if not self.view:  # alone: any seed that lives will do
-            goals = self.seeds
+        if not self.view:  # isolated: any live seed will do
+            destinations = self.seeds
         elif self.seeds and self.rounds % 8 == 0:
-            goals = [self.environment.random.choice(self.seeds)]
+            destinations = [self.environment.random.choice(self.seeds)]
         else:
-            self.waiting = max(self.view, key=lambda a: self.view[a]["age"])
-            goals = [self.waiting]
-        for goal in goals:
-            self.greet(goal)
-
-    def greet(self, goal):
-        self.environment.send(goal, "shuffle", view=self.some(goal), hints=self.hints(), reply=False)
+            self.awaited_neighbour = max(self.view, key=lambda address: self.view[address]["age"])
+            destinations = [self.awaited_neighbour]
+        for destination in destinations:
+            self.send_view(destination)
+
+    def send_view(self, destination):
+        """Sends a sample of the view and the current hints, and asks for the same in reply."""
+        self.environment.send(
+            destination, "shuffle", view=self.sample_view(destination), hints=self.hints(), reply=False
+        )
 
-    def some(self, goal):
-        rows = [[a, r["age"], r["kind"], r["cell"], r["name"]] for a, r in self.view.items() if a != goal]
-        pick = self.environment.random.sample(rows, min(len(rows), transport_constants.MAX_SHUFFLE_NEIGHBOURS - 1))
-        return pick + [self.me()]
+    def sample_view(self, destination):
+        """Random rows of the view without the destination's own, and this node's row."""
+        rows = [
+            [address, row["age"], row["kind"], row["cell"], row["name"]]
+            for address, row in self.view.items()
+            if address != destination
+        ]
+        sample = self.environment.random.sample(rows, min(len(rows), transport_constants.MAX_SHUFFLE_NEIGHBOURS - 1))
+        return sample + [self.own_row()]
 
     def on_shuffle(self, sender, body):
-        if self.memory:
-            self.memory.heard(sender)
+        """Replies to a request, and merges the received view and hints."""
+        if self.known_addresses:
+            self.known_addresses.note_contact(sender)
         if not body["reply"]:
-            self.environment.send(sender, "shuffle", view=self.some(sender), hints=self.hints(), reply=True)
-        elif sender == self.waiting:
-            self.waiting = None
-        for address, age, kind, cell, name in body["view"]:
+            self.environment.send(sender, "shuffle", view=self.sample_view(sender), hints=self.hints(), reply=True)
+        elif sender == self.awaited_neighbour:
+            self.awaited_neighbour = None
+        for address, age, kind, zone, name in body["view"]:
             if address == self.environment.address:
                 continue
             if kind == "route":
-                self.routers[address] = self.environment.now()
-            old = self.view.get(address)
-            if old is None or old["age"] > age:
-                self.view[address] = {"age": age, "kind": kind, "cell": cell, "name": name}
+                self.routers_last_seen[address] = self.environment.now()
+            known = self.view.get(address)
+            if known is None or known["age"] > age:
+                self.view[address] = {"age": age, "kind": kind, "cell": zone, "name": name}
         while len(self.view) > transport_constants.MAX_VIEW_NEIGHBOURS:
-            worst = max(self.view, key=lambda a: (self.view[a]["age"], self.environment.random.random()))
-            del self.view[worst]
+            oldest = max(self.view, key=lambda address: (self.view[address]["age"], self.environment.random.random()))
+            del self.view[oldest]
         for hint in body["hints"]:
-            self.take(hint)
+            self.apply_hint(hint)
 
     def hints(self):
+        """The hints to send now; keepers and routers that have not been seen for long are dropped."""
         now = self.environment.now()
-        self.keeps = {a: t for a, t in self.keeps.items() if now - t < 5 * constants.HINT_TTL_S}
-        self.routers = {a: t for a, t in self.routers.items() if now - t < 5 * constants.HINT_TTL_S}
+        self.keepers_last_seen = {
+            address: seen_at
+            for address, seen_at in self.keepers_last_seen.items()
+            if now - seen_at < 5 * constants.HINT_TTL_S
+        }
+        self.routers_last_seen = {
+            address: seen_at
+            for address, seen_at in self.routers_last_seen.items()
+            if now - seen_at < 5 * constants.HINT_TTL_S
+        }
         if self.kind == "keep":
-            self.keeps[self.environment.address] = now
-        rows = [{"keep": a, "age": round(now - t, 3)} for a, t in self.keeps.items()]
+            self.keepers_last_seen[self.environment.address] = now
+        rows = [
+            {"keep": address, "age": round(now - seen_at, 3)} for address, seen_at in self.keepers_last_seen.items()
+        ]
         if self.replicas:
             rows += self.replicas.hints()
         return rows[: transport_constants.MAX_RECORD_HINTS]
 
-    def take(self, hint):
+    def apply_hint(self, hint):
+        """Takes over a received hint unless a younger one is known."""
         if "keep" in hint:
-            at = self.environment.now() - max(0.0, hint["age"])
-            self.keeps[hint["keep"]] = max(at, self.keeps.get(hint["keep"], at))
+            seen_at = self.environment.now() - max(0.0, hint["age"])
+            self.keepers_last_seen[hint["keep"]] = max(seen_at, self.keepers_last_seen.get(hint["keep"], seen_at))
         elif self.replicas:
             self.replicas.apply_hint(hint)
 
-    def near_routers(self):
-        return sorted(a for a, row in dict(self.view).items() if row["kind"] == "route")
-
-    def count_routers(self):
-        """About how many routers there are, this one included."""
-        old = self.environment.now() - 5 * constants.HINT_TTL_S
-        return 1 + sum(at > old for at in list(self.routers.values()))
-
-    def keepers(self):
-        """Addresses to ask for the leader: those vouched for lately, then the seeds."""
-        keeps = dict(self.keeps)  # other threads ask too, while the mailbox drops those unheard of
-        late = sorted(keeps, key=lambda address: -keeps[address])
-        return [a for a in late if a != self.environment.address] + [s for s in self.seeds if s not in keeps]
+    def neighbouring_routers(self):
+        """Addresses of the routers in the view, sorted."""
+        return sorted(address for address, row in dict(self.view).items() if row["kind"] == "route")
+
+    def estimate_router_count(self):
+        """Estimated number of routers, including this one."""
+        oldest_counted = self.environment.now() - 5 * constants.HINT_TTL_S
+        return 1 + sum(seen_at > oldest_counted for seen_at in list(self.routers_last_seen.values()))
+
+    def keeper_addresses(self):
+        """Addresses to ask for a leader: keepers by the latest hint, newest first, then the seeds."""
+        # A copy: other threads call this while the mailbox thread drops expired keepers.
+        last_seen = dict(self.keepers_last_seen)
+        recent = sorted(last_seen, key=lambda address: -last_seen[address])
+        others = [address for address in recent if address != self.environment.address]
+        return others + [seed for seed in self.seeds if seed not in last_seen]
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -38,7 +38,7 @@
     rows = near_gossip.hints()
     assert len(rows) == transport_constants.MAX_RECORD_HINTS
     for row in rows:
-        far_gossip.take(row)
+        far_gossip.apply_hint(row)
     assert "r099" not in far.usable({})
     for _ in range(4):
         pool.time += 1
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -73,7 +73,7 @@
         away,
         count.take(),
         len(leader.log.entries),
-        leader.log.size_of(leader.log.base + 1),
+        leader.log.bytes_from(leader.log.base + 1),
         sum(len(f.disks[f.leader()].read(n)) for n in f.disks[f.leader()].names()),
         len(json.dumps(leader.log.snapshot)) if leader.log.snapshot else 0,
         took,
