--- a/mothshed/programs/daemon_flags.py
+++ b/mothshed/programs/daemon_flags.py
@@ -53,5 +53,5 @@
         daemon()
     except serving.DaemonExit as end:
         raise cappa.Exit(str(end) or None, code=end.code) from end
-    except disk_module.DiskFault as error:
+    except disk_module.DiskError as error:
         raise cappa.Exit(f"data folder is not usable: {error}", code=4) from error
--- a/mothshed/programs/keep.py
+++ b/mothshed/programs/keep.py
@@ -26,7 +26,7 @@
 
 
 def keep(settings: dict[str, typing.Any]) -> None:
-    """Run a keeper until it is asked to stop; raises serving.DaemonExit or DiskFault."""
+    """Run a keeper until it is asked to stop; raises serving.DaemonExit or DiskError."""
     new_environment = serving.environment_factory(settings)
     keeper = keeper_module.Keeper(new_environment(), settings, new_environment, serving.open_disk(settings["data"]))
     log_buffer.attach_journal(keeper.journal)
--- a/mothshed/transport/peers.py
+++ b/mothshed/transport/peers.py
@@ -1,9 +1,9 @@
-"""Records between the system's own processes: who takes which kind, and where they go.
+"""Sending records to the system's other processes, and dispatching received ones.
 
-Connections are kept and used in both directions: what a router opened to a keeper
-carries the router's questions up and the keeper's news down (`link_loop`). Records are
-not resent here; every protocol above asks again. A record that does not parse closes
-its connection and is counted, nothing more.
+Connections are kept open and used in both directions: one that a router opened to a keeper
+carries the router's requests and the keeper's notifications (`link_loop`). Records are not
+resent here; every protocol on top retries by itself. A record that does not parse closes
+its connection and is counted, with no further effect.
 """
 
 import collections.abc
@@ -19,10 +19,10 @@
 
 
 class Peers:
-    """What a process has to say to others, and hears from them.
+    """The endpoint of a process for records.
 
-    address: what others are told, host:port; it may lead here by another way. listen: where to
-    listen, if not there. now: seconds of the boot clock.
+    address: host:port under which peers reach this process, possibly through a relay. listen: host:port to
+    listen on, if different. now: seconds of the boot clock.
     """
 
     def __init__(
@@ -30,50 +30,50 @@
     ) -> None:
         self.address = address
         self.receivers: dict[tuple[str, int | None], Receiver] = {}
-        self.loop = link_loop.LinkLoop(listen or address, address, self.take, now)
+        self.loop = link_loop.LinkLoop(listen or address, address, self.dispatch, now)
 
-    def subscribe(self, kind: str, part: int | None, call: Receiver) -> None:
-        """call(sender, body) for records of a kind, of one part or of any; it must not block."""
-        self.receivers[(kind, part)] = call
+    def subscribe(self, kind: str, part: int | None, receiver: Receiver) -> None:
+        """Call receiver(sender, body) for records of a kind, of one part or of any (None); it must not block."""
+        self.receivers[(kind, part)] = receiver
 
-    def send(self, goal: str, kind: str, **body: typing.Any) -> None:
-        """Send a record to a peer, or nowhere if it cannot be reached; never blocks."""
-        if not goal:
+    def send(self, destination: str, kind: str, **body: typing.Any) -> None:
+        """Send a record to a peer; it is dropped if the peer cannot be reached. Never blocks."""
+        if not destination:
             return
-        if goal == self.address:
-            self.take(goal, kind, body)
+        if destination == self.address:
+            self.dispatch(destination, kind, body)
         else:
-            self.loop.table.send(goal, records.CODEC.pack(kind, body, self.loop.table.release_of(goal)))
+            self.loop.table.send(destination, records.CODEC.pack(kind, body, self.loop.table.release_of(destination)))
 
-    def send_to_each(self, goals: collections.abc.Iterable[str], kind: str, **body: typing.Any) -> None:
-        """Send the same record to several peers; it is packed once for all that speak the same release."""
+    def send_to_each(self, destinations: collections.abc.Iterable[str], kind: str, **body: typing.Any) -> None:
+        """Send the same record to several peers; it is packed once per release."""
         packed: dict[int | None, bytes] = {}
-        for goal in goals:
-            if goal == self.address:
-                self.take(goal, kind, body)
+        for destination in destinations:
+            if destination == self.address:
+                self.dispatch(destination, kind, body)
                 continue
-            release = self.loop.table.release_of(goal)
+            release = self.loop.table.release_of(destination)
             if release not in packed:
                 packed[release] = records.CODEC.pack(kind, body, release)
-            self.loop.table.send(goal, packed[release])
+            self.loop.table.send(destination, packed[release])
 
-    def take(self, sender: str, kind: str, body: Body) -> None:
-        """Give a record to the part that takes its kind; one that fails is noted."""
-        call = self.receivers.get((kind, body.get("part"))) or self.receivers.get((kind, None))
-        if call is None:
+    def dispatch(self, sender: str, kind: str, body: Body) -> None:
+        """Call the receiver of a record's kind and part; an exception in it is logged."""
+        receiver = self.receivers.get((kind, body.get("part"))) or self.receivers.get((kind, None))
+        if receiver is None:
             return
         try:
-            call(sender, body)
+            receiver(sender, body)
         except Exception as error:
             log_buffer.failure("receiver_failed", error)
 
     def releases(self) -> dict[str, int]:
-        """Peer -> its release, of those that told it by a connection that stands."""
+        """The release of each connected peer that has sent it."""
         return self.loop.table.releases()
 
-    def figures(self) -> dict[str, int]:
-        """How many links there are, and what was counted of them since the start."""
-        return {"release": records.CODEC.release, **self.loop.table.figures()}
+    def stats(self) -> dict[str, int]:
+        """This release, the number of links, and the counters since the start."""
+        return {"release": records.CODEC.release, **self.loop.table.stats()}
 
     def stop(self) -> None:
         """Close every connection and stop listening."""
--- a/tests/log_crashes.py
+++ b/tests/log_crashes.py
@@ -48,19 +48,19 @@
     return {
         "term": (log.term, log.vote),
         "base": (log.base, log.base_term),
-        "snap": log.snapshot,
+        "snapshot": log.snapshot,
         "entries": list(log.entries),
     }
 
 
-def with_content(files):
+def folder_with_files(files):
     """A folder that holds these files, all durable."""
     folder = volatile_folder.VolatileFolder()
     folder.restore(files)
     return folder
 
 
-def states_of(script):
+def states_during(script):
     """The states before the first write, and after each."""
     log = open_log(volatile_folder.VolatileFolder())
     found = [state(log)]
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass
-class Stop:
+class Interruption:
     """A folder whose process was stopped at a call, and the states that its log may have."""
 
     folder: volatile_folder.VolatileFolder
@@ -80,7 +80,7 @@
     log: disk_log.PartLog  # as the stopped process had it; None if it was still opening it
 
 
-class Interrupt:
+class ErrorAtCall:
     """Raises an error at the n-th call that changes a file; counts them."""
 
     def __init__(self, at, make_error):
@@ -94,7 +94,7 @@
             raise self.make_error()
 
 
-def play(script, folder):
+def run_script(script, folder):
     """Plays the script; returns the log, how many writes were done, and whether none was interrupted."""
     log, done = None, 0
     try:
@@ -102,43 +102,47 @@
         for method, args in script:
             getattr(log, method)(*args)
             done += 1
-    except (volatile_folder.PowerLost, disk_module.DiskFault):
+    except (volatile_folder.PowerLost, disk_module.DiskError):
         return log, done, False
     return log, done, True
 
 
-def stops(script, make_error=volatile_folder.PowerLost, start=lambda: volatile_folder.VolatileFolder(), states=None):
+def interruptions(
+    script, make_error=volatile_folder.PowerLost, start=lambda: volatile_folder.VolatileFolder(), states=None
+):
     """Every Stop of this script, the last one after its end; `start` makes the folder to begin with."""
-    states = states or states_of(script)
+    states = states or states_during(script)
     for at in itertools.count(1):
         folder = start()
-        interrupt = folder.before_step = Interrupt(at, make_error)
-        log, done, finished = play(script, folder)
+        injected = folder.before_step = ErrorAtCall(at, make_error)
+        log, done, finished = run_script(script, folder)
         folder.before_step = lambda step, name: None
         allowed = states[done:] if finished else states[done : done + 2]
-        yield Stop(folder, interrupt.call, allowed, log)
+        yield Interruption(folder, injected.call, allowed, log)
         if finished:
             return
 
 
-def after_power_loss(folder):
+def folders_after_power_loss(folder):
     """Every folder that a loss of power may leave, each state once."""
     seen = set()
     for files in folder.outcomes():
         key = tuple(sorted(files.items()))
         if key not in seen:
             seen.add(key)
-            yield with_content(files)
+            yield folder_with_files(files)
 
 
-def check_stop(stop):
+def check_interruption(interruption):
     """Opens the log after the stop, with power lost or not; returns how many cases were opened."""
     count = 0
-    for folder in itertools.chain(after_power_loss(stop.folder), [stop.folder]):
+    for folder in itertools.chain(folders_after_power_loss(interruption.folder), [interruption.folder]):
         found = state(open_log(folder))
-        assert found in stop.allowed, f"stopped at {stop.call}: {found} is none of {stop.allowed}"
-        for later in after_power_loss(folder):
-            assert state(open_log(later)) == found, f"stopped at {stop.call}: an opened state was lost"
+        assert found in interruption.allowed, (
+            f"stopped at {interruption.call}: {found} is none of {interruption.allowed}"
+        )
+        for later in folders_after_power_loss(folder):
+            assert state(open_log(later)) == found, f"stopped at {interruption.call}: an opened state was lost"
             count += 1
         count += 1
     return count
@@ -152,9 +156,9 @@
         if data != self.disk.read(name):
             put(name, data)
             return
-        with disk_module.faults_of("sync", name):
+        with disk_module.convert_os_errors("sync", name):
             self.disk.files.fsync(self.disk.files.open(name))
-        self.disk.sync_names()
+        self.disk.sync_directory()
 
     self.disk.put = sync_again
     try:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -147,7 +147,9 @@
     yield b"XXXX" + record[4:]
     yield record[:6] + b"\xff\xff\xff\xff" + record[10:]
     yield record[:-1] + bytes([record[-1] ^ 1])
-    yield records.HEAD.pack(records.MARK, records.CODEC.by_name["ask"].number, 3, records.zlib.crc32(b"abc")) + b"abc"
+    yield (
+        records.HEADER.pack(records.MAGIC, records.CODEC.by_name["ask"].number, 3, records.zlib.crc32(b"abc")) + b"abc"
+    )
 
 
 def test_malformed_peer_record_closes_only_its_connection():
@@ -157,12 +159,12 @@
     hello = records.pack("hello", address="127.0.0.1:1")
     try:
         for number, bad in enumerate(malformed_records(), 1):
-            with socket.create_connection(link.split(host), 5) as conn:
+            with socket.create_connection(link.parse_address(host), 5) as conn:
                 conn.settimeout(5)
                 conn.sendall(hello + bad)
                 assert conn.recv(1) == b""  # closed by the peer
-            assert peer.figures()["links_record_fault"] == number
-        with socket.create_connection(link.split(host), 5) as conn:
+            assert peer.stats()["links_record_fault"] == number
+        with socket.create_connection(link.parse_address(host), 5) as conn:
             conn.sendall(hello + records.pack("ask", part=0, mark=7, held=0, staged=0))
             deadline = time.monotonic() + 5
             while not received and time.monotonic() < deadline:
