--- a/mothshed/programs/__init__.py
+++ b/mothshed/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs library of mothshed; docs/design.md says what belongs here."""
+"""The daemons and the operator's command line; docs/design.md defines the scope of this package."""
--- a/mothshed/programs/daemon_flags.py
+++ b/mothshed/programs/daemon_flags.py
@@ -1,4 +1,4 @@
-"""What both daemons' command lines share: flags, settings from file and flags, and exit codes."""
+"""Flags, settings and exit codes shared by the command lines of both daemons."""
 
 import collections.abc
 import dataclasses
@@ -16,26 +16,30 @@
 
 @dataclasses.dataclass
 class DaemonFlags:
-    """Flags every daemon takes; each stands over the settings file's entry."""
+    """Flags of every daemon; a flag overrides the entry of the settings file."""
 
     settings: typing.Annotated[OptionalText, cappa.Arg(long=True, help="settings file (JSON)")] = None
-    name: typing.Annotated[OptionalText, cappa.Arg(long=True, help="this process's name")] = None
-    address: typing.Annotated[OptionalText, cappa.Arg(long=True, help="ip:port for the system's own processes")] = None
-    listen: typing.Annotated[OptionalText, cappa.Arg(long=True, help="ip:port to listen on, if not the address")] = None
-    http: typing.Annotated[OptionalText, cappa.Arg(long=True, help="ip:port for HTTP")] = None
-    cell: typing.Annotated[OptionalText, cappa.Arg(long=True, help="zone this machine is in")] = None
-    list_url: typing.Annotated[OptionalText, cappa.Arg(long=True, help="URL of the platform's list of replicas")] = None
-    seeds: typing.Annotated[list[str], cappa.Arg(long=True, help="seed ip:port, up to three times")] = (
-        dataclasses.field(default_factory=list)
-    )
+    name: typing.Annotated[OptionalText, cappa.Arg(long=True, help="name of this process")] = None
+    address: typing.Annotated[
+        OptionalText, cappa.Arg(long=True, help="ip:port at which other processes of the system reach this one")
+    ] = None
+    listen: typing.Annotated[
+        OptionalText, cappa.Arg(long=True, help="ip:port to listen on, if it differs from the address")
+    ] = None
+    http: typing.Annotated[OptionalText, cappa.Arg(long=True, help="ip:port of the HTTP server")] = None
+    cell: typing.Annotated[OptionalText, cappa.Arg(long=True, help="zone of this machine")] = None
+    list_url: typing.Annotated[OptionalText, cappa.Arg(long=True, help="URL of the platform's replica list")] = None
+    seeds: typing.Annotated[
+        list[str], cappa.Arg(long=True, help="ip:port of a seed; may be given up to three times")
+    ] = dataclasses.field(default_factory=list)
     ring: typing.Annotated[
-        OptionalText, cappa.Arg(long=True, help="file for the log ring when something goes wrong")
+        OptionalText, cappa.Arg(long=True, help="file that the log buffer is written to after an error")
     ] = None
     data: typing.Annotated[OptionalText, cappa.Arg(long=True, help="data folder (keepers only)")] = None
 
 
 def load_settings(flags_given, keeper=False):
-    """The checked settings, or exit 2 with every fault named."""
+    """Return the validated settings, or exit with 2 and all errors."""
     flags = {name: value for name, value in dataclasses.asdict(flags_given).items() if name != "settings"}
     try:
         settings = settings_module.load(flags_given.settings, flags, keeper)
@@ -48,7 +52,7 @@
 
 
 def run_daemon(daemon: collections.abc.Callable[[], None]) -> None:
-    """Run a daemon to its end; exit as it says, or with code 4 if its data folder is not usable."""
+    """Run a daemon; exit with its code, or with 4 if its data folder is not usable."""
     try:
         daemon()
     except serving.DaemonExit as end:
--- a/mothshed/programs/document_file.py
+++ b/mothshed/programs/document_file.py
@@ -1,4 +1,4 @@
-"""Reads a configuration document from the file that an operator names."""
+"""Reads a configuration document from a file given on the command line."""
 
 import json
 import pathlib
@@ -8,7 +8,7 @@
 
 
 def read(path: str) -> typing.Any:
-    """Parse the JSON in the file; end the command with exit code 2 if that can't be done."""
+    """Parse the JSON in the file; end the command with exit code 2 if the file can't be read or parsed."""
     try:
         return json.loads(pathlib.Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/mothshed/programs/environment.py
+++ b/mothshed/programs/environment.py
@@ -1,9 +1,9 @@
-"""What a process takes from outside: clock, timers, mailbox, network, chance.
+"""The environment of a process: clock, timers, mailbox, network and random numbers.
 
-Parts of a process never read a clock or open a socket themselves; they are
-given an Environment. This is the real one: CLOCK_BOOTTIME, a pykka actor as mailbox so
-that a part's callbacks run one at a time, one thread that keeps all timers, and
-the peers' held connections. The simulator has an Environment of the same shape.
+Parts of a process never read a clock or open a socket themselves; they use the Environment they are given. This
+one is used in production: CLOCK_BOOTTIME, a pykka actor as mailbox that runs the callbacks of a part one at a time,
+one thread for all timers, and persistent connections to peers. The simulator has an Environment with the same
+interface.
 """
 
 import collections.abc
@@ -22,7 +22,7 @@
 
 
 class BlockingEnvironment:
-    """Clock, pauses, events, tasks, HTTP and chance: what straight-down code takes."""
+    """The part of an environment that blocking code uses: clock, sleep, events, threads, HTTP, random numbers."""
 
     def __init__(self):
         self.random = random.Random()
@@ -39,7 +39,7 @@
         return threading.Event()
 
     def spawn(self, call):
-        """Runs call() as a task of its own."""
+        """Run call() in a new daemon thread; an exception is logged."""
 
         def run():
             try:
@@ -51,7 +51,7 @@
 
 
 class Environment(BlockingEnvironment):
-    """Tasks, and the mailbox, timers and peers that callbacks take."""
+    """A blocking environment with the mailbox, timers and peers that callbacks use."""
 
     def __init__(self, timers, peers, address):
         super().__init__()
@@ -73,19 +73,19 @@
         self.peers.send(destination, kind, **body)
 
     def send_to_each(self, addresses: collections.abc.Iterable[str], kind: str, **body: typing.Any) -> None:
-        """The same record to several processes, packed once."""
+        """Send the same record to several processes; it is encoded once."""
         self.peers.send_to_each(addresses, kind, **body)
 
     def subscribe(self, kind, call, part=None):
-        """Calls call(sender, body) in this environment's mailbox for records of a kind."""
+        """Run call(sender, body) in this environment's mailbox for each received record of this kind."""
         self.peers.subscribe(kind, part, lambda sender, body: self.post(lambda: call(sender, body)))
 
     def releases(self) -> dict[str, int]:
-        """Peer -> the release of the records that it speaks, of those connected now."""
+        """Return the record release that each connected peer uses, by peer."""
         return self.peers.releases()
 
     def figures(self) -> dict[str, int]:
-        """What this process holds now: its threads, and its connections to others of the system."""
+        """Return the number of threads and of connections to other processes of the system."""
         return {"threads": threading.active_count(), **self.peers.stats()}
 
     def stop(self):
--- a/mothshed/programs/keep.py
+++ b/mothshed/programs/keep.py
@@ -13,12 +13,12 @@
 
 @cappa.command(
     name="mothshed-keep",
-    help="Keeps the agreed state: configuration and who orders which replica. "
+    help="Stores the replicated state: the configuration and which leader controls which replicas. "
     "Example: mothshed-keep --settings keep.json --data /var/lib/mothshed",
 )
 @dataclasses.dataclass
 class Keep(daemon_flags.DaemonFlags):
-    """The keeper daemon's flags; calling it runs the daemon."""
+    """Flags of the keeper daemon; calling the instance runs the daemon."""
 
     def __call__(self):
         settings = daemon_flags.load_settings(self, keeper=True)
@@ -26,7 +26,7 @@
 
 
 def keep(settings: dict[str, typing.Any]) -> None:
-    """Run a keeper until it is asked to stop; raises serving.DaemonExit or DiskError."""
+    """Run a keeper until a signal stops it; raises serving.DaemonExit or DiskError."""
     new_environment = serving.environment_factory(settings)
     keeper = keeper_module.Keeper(new_environment(), settings, new_environment, serving.open_disk(settings["data"]))
     log_buffer.attach_journal(keeper.journal)
--- a/mothshed/programs/logs.py
+++ b/mothshed/programs/logs.py
@@ -1,11 +1,10 @@
-"""Reading daemons' logs: several files of JSON lines, merged by time.
+"""Reads the JSON-lines log files of several daemons and merges them by time.
 
-The files are what `log_buffer.write` made: one JSON object a line, each with its moment,
-its kind, the process and its own fields. The moments of a journal's events count since
-boot; the latest message of their process that bears both moments sets them in. A line that is none of these (another
-program's words on standard error, a line torn by a kill) is passed over and counted.
-Moments are the machines' own wall clocks: lines of two machines may stand in the
-wrong order by as much as these differ.
+`log_buffer.write` writes the files: one JSON object per line with its timestamp, kind, process and further fields.
+Events of a journal are timed from boot; the latest message of the same process that has both times converts them to
+wall-clock time. Lines that are no log rows (other output on standard error, a line cut off by a kill) are skipped
+and counted. Timestamps come from each machine's wall clock, so lines of two machines may be out of order by the
+difference of their clocks.
 
 >>> format_row({"timestamp": 0.5, "message_type": "free", "process": "route-1", "outcome": "done", "task_uuid": "x"})
 '1970-01-01T00:00:00.500Z route-1 free outcome=done'
@@ -16,16 +15,16 @@
 import pathlib
 
 LEADING_FIELDS = ("timestamp", "message_type", "process")
-ELIOT_FIELDS = ("task_uuid", "task_level")  # eliot's own marks; nothing here makes tasks of several messages
+ELIOT_FIELDS = ("task_uuid", "task_level")  # added by eliot; not shown, as no task here has more than one message
 
 
 def timestamp_of(row):
-    """Raises if the row has none that is a time."""
+    """Return the row's time in UTC; raises if its timestamp is missing or invalid."""
     return datetime.datetime.fromtimestamp(row["timestamp"], datetime.UTC)
 
 
 def parse_row(text, boot_times):
-    """The log row that a line of a file holds, or None. boot_times: process -> when it counts from, kept up here."""
+    """Return the log row of a line, or None. boot_times: wall-clock boot time by process, updated here."""
     try:
         row = json.loads(text)
         name = row.get("process")
@@ -40,7 +39,7 @@
 
 
 def read(paths, request=None):
-    """(rows by time, lines passed over); request: only the rows of that request id. Raises OSError."""
+    """Return (rows by time, number of skipped lines). request: only rows of this request id. Raises OSError."""
     rows, skipped = [], 0
     for path in paths:
         boot_times = {}
@@ -55,14 +54,14 @@
 
 
 def format_value(value):
-    """A value on one line: text as it is while it has neither spaces nor quotes."""
+    """Return a value as text on one line; strings without spaces, quotes or `=` stay unquoted."""
     if isinstance(value, str) and value and value.isprintable() and not set(value) & set(' "='):
         return value
     return json.dumps(value)
 
 
 def format_row(row):
-    """Give a row as one line: moment, process, kind and its other fields."""
+    """Return a row as one line: timestamp, process, kind and the other fields."""
     fields = [
         f"{field}={format_value(value)}" for field, value in row.items() if field not in LEADING_FIELDS + ELIOT_FIELDS
     ]
--- a/mothshed/programs/operate.py
+++ b/mothshed/programs/operate.py
@@ -1,7 +1,7 @@
 """mothshed: the operator's command line.
 
-Exit codes: 0 done; 1 the system answered no or not at all; 2 bad input;
-5 somebody else's document came first (409); 6 not known, read the history.
+Exit codes: 0 success; 1 the system refused or did not answer; 2 invalid input; 5 conflict with another change
+(409); 6 outcome unknown, see the history.
 """
 
 import dataclasses
@@ -30,13 +30,15 @@
             raise cappa.Exit(code=1)
 
 
-@cappa.command(name="logs", help="Prints several daemons' log rings, merged by time.")
+@cappa.command(name="logs", help="Prints the log files of several daemons, merged by time.")
 @dataclasses.dataclass
 class Logs:
     """Flags of `logs`."""
 
-    files: typing.Annotated[list[str], cappa.Arg(required=True, num_args=-1, help="what daemons wrote to their `ring`")]
-    request: typing.Annotated[str, cappa.Arg(long=True, help="only what concerns this request id")] = ""
+    files: typing.Annotated[
+        list[str], cappa.Arg(required=True, num_args=-1, help="files that daemons wrote to their `ring` path")
+    ]
+    request: typing.Annotated[str, cappa.Arg(long=True, help="only rows of this request id")] = ""
 
     def __call__(self):
         try:
@@ -46,7 +48,7 @@
         for row in rows:
             print(logs_module.format_row(row))
         if skipped:
-            print(f"{skipped} lines were no log lines", file=sys.stderr)
+            print(f"{skipped} lines were not log rows and were skipped", file=sys.stderr)
 
 
 @cappa.command(
@@ -60,22 +62,22 @@
 
     book: str
     keeper: operate_configuration.Keepers
-    router: typing.Annotated[list[str], cappa.Arg(long=True, help="ip:port of a router's HTTP front")] = (
+    router: typing.Annotated[list[str], cappa.Arg(long=True, help="ip:port of a router's HTTP server")] = (
         dataclasses.field(default_factory=list)
     )
-    set: typing.Annotated[list[str], cappa.Arg(long=True, help="name=value for what the runbook needs")] = (
+    set: typing.Annotated[list[str], cappa.Arg(long=True, help="name=value of a runbook parameter")] = (
         dataclasses.field(default_factory=list)
     )
     dry_run: typing.Annotated[
-        bool, cappa.Arg(long=True, help="check the preconditions, show the steps, do nothing")
+        bool, cappa.Arg(long=True, help="check the preconditions and print the steps without running them")
     ] = False
 
     def __call__(self):
-        import tools.runbook as runbook  # a tool, only needed here
+        import tools.runbook as runbook  # imported only by the command that needs it
 
         malformed = [text for text in self.set if "=" not in text]
         if malformed:
-            raise cappa.Exit(f"--set takes name=value, not {malformed[0]!r}", code=2)
+            raise cappa.Exit(f"--set expects name=value, got {malformed[0]!r}", code=2)
         try:
             parameters = dict(text.split("=", 1) for text in self.set)
             run = runbook.Run(runbook.load(self.book), parameters, self.keeper, self.router, wait_for_manual_step)
@@ -84,30 +86,30 @@
             raise cappa.Exit(str(error), code=2) from error
         except runbook.StepFailed as error:
             raise cappa.Exit(f"stopped: {error}", code=1) from error
-        print("done" if not self.dry_run else "dry run: nothing was done")
+        print("done" if not self.dry_run else "dry run: nothing was changed")
 
 
 def wait_for_manual_step(text):
-    """Wait until the operator has done a step by hand."""
+    """Print a manual step and wait until the operator confirms it."""
     input(f"       {text}\n       press Enter when it is done ")
 
 
-@cappa.command(name="fleet", help="Starts a whole fleet on this machine, runs a bounded load, prints a report.")
+@cappa.command(name="fleet", help="Starts a complete fleet on this machine, runs a limited load and prints a report.")
 @dataclasses.dataclass
 class Fleet:
     """Flags of `fleet`."""
 
     deployment: typing.Annotated[str, cappa.Arg(long=True, help="patinetes or tesfaye")] = "patinetes"
-    seconds: typing.Annotated[float, cappa.Arg(long=True, help="length of the load")] = 20.0
-    rate: typing.Annotated[float, cappa.Arg(long=True, help="requests a second; 0: the deployment's own")] = 0.0
+    seconds: typing.Annotated[float, cappa.Arg(long=True, help="duration of the load in seconds")] = 20.0
+    rate: typing.Annotated[float, cappa.Arg(long=True, help="requests per second; 0: the rate of the deployment")] = 0.0
     faults: typing.Annotated[
         str, cappa.Arg(long=True, help="e.g. 4:kill_router,7:kill_owner,10:crash_replica,13:config")
     ] = ""
-    folder: typing.Annotated[str, cappa.Arg(long=True, help="where to write; a temporary folder if empty")] = ""
-    seed: typing.Annotated[int, cappa.Arg(long=True, help="seed of the load")] = 1
+    folder: typing.Annotated[str, cappa.Arg(long=True, help="output folder; a temporary folder if empty")] = ""
+    seed: typing.Annotated[int, cappa.Arg(long=True, help="random seed of the load")] = 1
 
     def __call__(self):
-        import tools.fleet_run as fleet_run  # a tool, only needed here
+        import tools.fleet_run as fleet_run  # imported only by the command that needs it
 
         raise cappa.Exit(code=fleet_run.main(self))
 
--- a/mothshed/programs/operate_configuration.py
+++ b/mothshed/programs/operate_configuration.py
@@ -1,7 +1,4 @@
-"""The commands on the configuration: `mothshed config ...`.
-
-Exit codes are those of operate.py.
-"""
+"""The configuration commands: `mothshed config ...`. operate.py lists the exit codes."""
 
 import dataclasses
 import json
@@ -19,7 +16,7 @@
 
 Keepers = typing.Annotated[
     list[str],
-    cappa.Arg(long="--keeper", required=True, help="ip:port of a keeper's HTTP front; may be given several times"),
+    cappa.Arg(long="--keeper", required=True, help="ip:port of a keeper's HTTP server; may be repeated"),
 ]
 
 
@@ -28,7 +25,7 @@
     print(json.dumps(body, indent=2))
 
 
-@cappa.command(name="check", help="Checks a configuration document and lists every fault; changes nothing.")
+@cappa.command(name="check", help="Checks a configuration document and lists all errors; changes nothing.")
 @dataclasses.dataclass
 class Check:
     """Flags of `config check`."""
@@ -36,25 +33,27 @@
     file: str
 
     def __call__(self) -> None:
-        """Print every fault and exit with 2, or say that the document is valid."""
+        """Print all errors and exit with 2, or print that the document is valid."""
         errors = configuration.validation_errors(document_file.read(self.file))
         if errors:
             raise cappa.Exit("\n".join(errors), code=2)
         print("valid")
 
 
-@cappa.command(name="apply", help="Applies a whole document over the sequence you read it from.")
+@cappa.command(name="apply", help="Replaces the document of a given sequence by a whole document.")
 @dataclasses.dataclass
 class Apply:
     """Flags of `config apply`."""
 
     file: str
-    base: typing.Annotated[int, cappa.Arg(long=True, help="the sequence your document was made from; 0 for the first")]
+    base: typing.Annotated[
+        int, cappa.Arg(long=True, help="sequence that the document is based on; 0 for the first document")
+    ]
     keeper: Keepers
-    by: typing.Annotated[str, cappa.Arg(long=True, help="who applies it")] = ""
+    by: typing.Annotated[str, cappa.Arg(long=True, help="name of the operator, for the history")] = ""
 
     def __call__(self) -> None:
-        """Send the document; exit with the codes above unless it is acknowledged."""
+        """Send the document; exit with a code of operate.py unless it is acknowledged."""
         document = document_file.read(self.file)
         errors = configuration.validation_errors(document)
         if errors:
@@ -65,18 +64,18 @@
             raise cappa.Exit(code=code)
 
 
-@cappa.command(name="change", help="Puts and removes named items; everything else stays as it is.")
+@cappa.command(name="change", help="Puts and removes named items; everything else stays unchanged.")
 @dataclasses.dataclass
 class Change:
     """Flags of `config change`."""
 
     file: typing.Annotated[str, cappa.Arg(help='JSON: {"put": {"routes": [...]}, "remove": {"routes": ["name"]}}')]
-    base: typing.Annotated[int, cappa.Arg(long=True, help="the sequence your change was made from")]
+    base: typing.Annotated[int, cappa.Arg(long=True, help="sequence that the change is based on")]
     keeper: Keepers
-    by: typing.Annotated[str, cappa.Arg(long=True, help="who changes it")] = ""
+    by: typing.Annotated[str, cappa.Arg(long=True, help="name of the operator, for the history")] = ""
 
     def __call__(self) -> None:
-        """Send the change; exit with the codes above unless it is acknowledged."""
+        """Send the change; exit with a code of operate.py unless it is acknowledged."""
         change = document_file.read(self.file)
         unknown = sorted(set(change) - {"put", "remove"}) if isinstance(change, dict) else ["document"]
         if unknown:
@@ -91,7 +90,7 @@
             raise cappa.Exit(code=code)
 
 
-@cappa.command(name="show", help="Shows the active and the latest document and who has acknowledged it.")
+@cappa.command(name="show", help="Shows the active and the latest document and the processes that acknowledged it.")
 @dataclasses.dataclass
 class Show:
     """Flags of `config show`."""
@@ -99,7 +98,7 @@
     keeper: Keepers
 
     def __call__(self) -> None:
-        """Print the documents and who has acknowledged them."""
+        """Print the documents and the processes that acknowledged them."""
         print_answer(self.keeper, "/configuration")
 
 
@@ -111,19 +110,19 @@
     keeper: Keepers
 
     def __call__(self) -> None:
-        """Print the accepted documents that are kept."""
+        """Print the accepted documents that keepers still store."""
         print_answer(self.keeper, "/configuration/history")
 
 
 def print_answer(keepers: list[str], path: str) -> None:
-    """Print what the keepers answer; end with code 1 if that is no success."""
+    """Print the keepers' answer; exit with code 1 if its status is not 200."""
     status, answer = operator_client.first_answer(keepers, "GET", path)
     print_json(answer)
     if status != 200:
         raise cappa.Exit(code=1)
 
 
-@cappa.command(name="from-manifest", help="Prints the document that a Gateway-style manifest (YAML) stands for.")
+@cappa.command(name="from-manifest", help="Translates a Gateway-style manifest (YAML) and prints the document.")
 @dataclasses.dataclass
 class FromManifest:
     """Flags of `config from-manifest`."""
@@ -131,16 +130,16 @@
     file: str
 
     def __call__(self) -> None:
-        """Print the document, or exit with 2 and what is wrong with the manifest."""
+        """Print the document, or exit with 2 and the error in the manifest."""
         try:
             print_json(manifests.translate(pathlib.Path(self.file).read_text()))
         except (OSError, manifests.ManifestError) as error:
             raise cappa.Exit(f"{self.file}: {error}", code=2) from error
 
 
-@cappa.command(name="config", help="The configuration: check, apply, change, show, history, from-manifest.")
+@cappa.command(name="config", help="Manages the configuration: check, apply, change, show, history, from-manifest.")
 @dataclasses.dataclass
 class Config:
-    """The commands on the configuration."""
+    """The subcommands of `config`."""
 
     command: cappa.Subcommands[Check | Apply | Change | Show | History | FromManifest]
--- a/mothshed/programs/operate_keys.py
+++ b/mothshed/programs/operate_keys.py
@@ -1,8 +1,8 @@
-"""The commands on tenants' API keys: `mothshed key ...`.
+"""The commands for tenants' API keys: `mothshed key ...`.
 
-A key itself goes to the tenant only. Keepers are told its digest, so a key is shown once, when it is made, and is
-taken from nowhere but standard input. Changes are made over the newest configuration and refused if somebody else
-changes it at the same moment. Exit codes are those of operate.py.
+Only the tenant gets the key itself; keepers get its digest. A key is therefore shown once, when it is generated, and
+is read from standard input only. Changes are based on the latest configuration and refused if another operator
+changes it at the same time. operate.py lists the exit codes.
 """
 
 import collections.abc
@@ -22,50 +22,50 @@
 Keepers = operate_configuration.Keepers
 Tenant = dict[str, typing.Any]
 Digests = list[str]
-By = typing.Annotated[str, cappa.Arg(long=True, help="who changes it")]
+By = typing.Annotated[str, cappa.Arg(long=True, help="name of the operator, for the history")]
 DIGEST = re.compile(tenant_keys.DIGEST_PATTERN)
 
 
 @dataclasses.dataclass(frozen=True)
 class Key:
-    """A key that was made just now. Its text is left out of what `repr` shows."""
+    """A newly generated key; `repr` does not show its text."""
 
     text: str = dataclasses.field(repr=False)
 
     @property
     def digest(self) -> str:
-        """What a configuration holds of it."""
+        """The digest that the configuration stores."""
         return tenant_keys.digest_of(self.text)
 
     def show(self) -> None:
-        """Print the key, this once, and its digest."""
+        """Print the key and its digest; the key can't be shown again."""
         print(f"key     {self.text}")
         print(f"digest  {self.digest}")
 
 
 def make_key() -> Key:
-    """A new random key."""
+    """Return a new random key."""
     return Key(secrets.token_urlsafe(constants.GENERATED_KEY_BYTES))
 
 
 def read_tenants(keepers: list[str]) -> tuple[int, dict[str, Tenant]]:
-    """The newest sequence and its tenants by name; ends the command if they can't be had."""
+    """Return the latest sequence and its tenants by name; exit with 1 if there are none to read."""
     status, answer = operator_client.first_answer(keepers, "GET", "/configuration")
     if status != 200:
         operate_configuration.print_json(answer)
         raise cappa.Exit(code=1)
     document = answer.get("latest_document")
     if not isinstance(document, dict):
-        raise cappa.Exit("these keepers hold no configuration of mothshed's own form", code=1)
+        raise cappa.Exit("these keepers have no configuration in mothshed's own format", code=1)
     return answer["latest"], document["tenants"]
 
 
 def change_digests(
     keepers: list[str], tenant: str, by: str, changed: collections.abc.Callable[[Digests], Digests]
 ) -> Digests:
-    """Replace a tenant's digests by what `changed` makes of them, everything else of it left; give the new ones.
+    """Replace a tenant's digests by changed(digests), leave its other fields, and return the new digests.
 
-    Ends the command with one of the exit codes if the change is not acknowledged.
+    Exits with a code of operate.py if the change is not acknowledged.
     """
     base, tenants = read_tenants(keepers)
     if tenant not in tenants:
@@ -80,16 +80,16 @@
 
 
 def validated_digest(text: str) -> str:
-    """The digest that was given; ends the command if it is none, without showing it: it may be a key."""
+    """Return a valid digest; exit with 2 otherwise, without printing the text, which may be a key."""
     if not DIGEST.match(text):
         length = 2 * constants.KEY_DIGEST_BYTES
         raise cappa.Exit(
-            f"expected a digest, {length} digits from 0 to f, not a key; see `mothshed key digest`", code=2
+            f"expected a digest of {length} hexadecimal digits, not a key; see `mothshed key digest`", code=2
         )
     return text
 
 
-@cappa.command(name="make", help="Makes a key: prints it, this once, and its digest. Tells nobody.")
+@cappa.command(name="make", help="Generates a key and prints it, this once, with its digest. Sends nothing.")
 @dataclasses.dataclass
 class Make:
     """Flags of `key make`."""
@@ -108,11 +108,11 @@
         """Read one line and print its digest."""
         key = sys.stdin.readline().strip()
         if not key:
-            raise cappa.Exit("no key came from standard input", code=2)
+            raise cappa.Exit("standard input contains no key", code=2)
         print(tenant_keys.digest_of(key))
 
 
-@cappa.command(name="list", help="Shows the tenants with the digests of their keys and their limits.")
+@cappa.command(name="list", help="Lists tenants with the digests of their keys and their limits.")
 @dataclasses.dataclass
 class List:
     """Flags of `key list`."""
@@ -120,45 +120,45 @@
     keeper: Keepers
 
     def __call__(self) -> None:
-        """Print the tenants of the newest configuration."""
+        """Print the tenants of the latest configuration."""
         sequence, tenants = read_tenants(self.keeper)
         operate_configuration.print_json({"sequence": sequence, "tenants": tenants})
 
 
-@cappa.command(name="add", help="Adds a key to a tenant, beside those that it has.")
+@cappa.command(name="add", help="Adds a key to a tenant; existing keys stay valid.")
 @dataclasses.dataclass
 class Add:
     """Flags of `key add`."""
 
     tenant: str
-    digest: typing.Annotated[str, cappa.Arg(help="of the key, as `key make` or `key digest` printed it")]
+    digest: typing.Annotated[str, cappa.Arg(help="digest of the key, as printed by `key make` or `key digest`")]
     keeper: Keepers
     by: By = ""
 
     def __call__(self) -> None:
-        """Send the change; exit with the codes above unless it is acknowledged."""
+        """Send the change; exit with a code of operate.py unless it is acknowledged."""
         digest = validated_digest(self.digest)
 
         def added(digests: Digests) -> Digests:
             if digest in digests:
-                raise cappa.Exit(f"nothing was applied: {self.tenant!r} has this key", code=2)
+                raise cappa.Exit(f"nothing was applied: {self.tenant!r} already has this key", code=2)
             return [*digests, digest]
 
         change_digests(self.keeper, self.tenant, self.by, added)
 
 
-@cappa.command(name="remove", help="Takes a key away from a tenant.")
+@cappa.command(name="remove", help="Removes a key from a tenant.")
 @dataclasses.dataclass
 class Remove:
     """Flags of `key remove`."""
 
     tenant: str
-    digest: typing.Annotated[str, cappa.Arg(help="of the key, as `key list` shows it")]
+    digest: typing.Annotated[str, cappa.Arg(help="digest of the key, as printed by `key list`")]
     keeper: Keepers
     by: By = ""
 
     def __call__(self) -> None:
-        """Send the change; exit with the codes above unless it is acknowledged."""
+        """Send the change; exit with a code of operate.py unless it is acknowledged."""
         digest = validated_digest(self.digest)
 
         def without(digests: Digests) -> Digests:
@@ -171,7 +171,7 @@
             print(f"{self.tenant!r} has no key left", file=sys.stderr)
 
 
-@cappa.command(name="rotate", help="Makes a key and adds it; the former ones stay until `key remove` takes them away.")
+@cappa.command(name="rotate", help="Generates a key and adds it; former keys stay valid until `key remove`.")
 @dataclasses.dataclass
 class Rotate:
     """Flags of `key rotate`."""
@@ -181,7 +181,7 @@
     by: By = ""
 
     def __call__(self) -> None:
-        """Print the new key once it is acknowledged, and the digests to be taken away later."""
+        """Print the new key once it is acknowledged, and the former digests, to be removed later."""
         key, former = make_key(), list[str]()
 
         def added(digests: Digests) -> Digests:
@@ -194,9 +194,9 @@
             print(f"former  {digest}")
 
 
-@cappa.command(name="key", help="API keys of tenants: make, digest, list, add, rotate, remove.")
+@cappa.command(name="key", help="Manages tenants' API keys: make, digest, list, add, rotate, remove.")
 @dataclasses.dataclass
 class Keys:
-    """The commands on API keys."""
+    """The subcommands of `key`."""
 
     command: cappa.Subcommands[Make | Digest | List | Add | Rotate | Remove]
--- a/mothshed/programs/operator_client.py
+++ b/mothshed/programs/operator_client.py
@@ -1,4 +1,4 @@
-"""Asking keepers over HTTP on the operator's behalf; follows 307 to the leader."""
+"""HTTP client of the operator's commands: calls keepers and follows their 307 redirects to the leader."""
 
 import time
 import typing
@@ -11,17 +11,17 @@
 
 
 def follow_redirects(pool, method, url, body):
-    """Call one address and follow its redirects to the leader."""
+    """Send a request to one address, follow its redirects to the leader, and return (status, answer)."""
     for _redirect in range(4):
         status, answer, location = send_once(pool, method, url, body)
         if status != 307:
             return status, answer
         url = location
-    return 503, {"error": {"message": "sent round in circles", "verdict": "not_run"}}
+    return 503, {"error": {"message": "too many redirects between keepers", "verdict": "not_run"}}
 
 
 def send_once(pool, method, url, body):
-    """Call once; give status, answer and where a redirect leads."""
+    """Send one request; return its status, its answer and the location of a redirect."""
     response = pool.request(
         method,
         url,
@@ -34,7 +34,10 @@
 
 
 def first_answer(addresses, method, path, body=None):
-    """(status, answer) of the first address that answers other than 503; rounds go on for MIN_QUERY_TIME_S seconds."""
+    """Return (status, answer) of the first address that answers other than 503.
+
+    All addresses are tried in turn until MIN_QUERY_TIME_S has passed and MIN_QUERY_ATTEMPTS calls were made.
+    """
     pool, last = urllib3.PoolManager(), (503, {"error": {"message": "no address answered", "verdict": "not_run"}})
     calls, deadline = 0, time.monotonic() + constants.MIN_QUERY_TIME_S
     while calls < constants.MIN_QUERY_ATTEMPTS or time.monotonic() < deadline:
@@ -50,7 +53,7 @@
 def attempt(
     pool: urllib3.PoolManager, method: str, url: str, body: dict[str, typing.Any] | None
 ) -> tuple[int, dict[str, typing.Any]]:
-    """(status, answer) of one call; 503 and the reason if there is no answer."""
+    """Return (status, answer) of one call; 503 and the error if there is no answer."""
     try:
         return follow_redirects(pool, method, url, body)
     except web.FAULTS as error:
@@ -58,19 +61,19 @@
 
 
 def apply_document(keepers, base, document, by, change_id):
-    """(exit code, answer) of applying a whole document."""
+    """Apply a whole document; return (exit code, answer)."""
     return send_change(keepers, "PUT", {"base": base, "document": document, "by": by, "id": change_id})
 
 
 def change_items(
     keepers: list[str], base: int, items: dict[str, typing.Any], by: str, change_id: str
 ) -> tuple[int, dict[str, typing.Any]]:
-    """(exit code, answer) of changing named items. items: `put` and `remove`, as for document_change.parse_change."""
+    """Change named items; return (exit code, answer). items: `put` and `remove`, see document_change.parse_change."""
     return send_change(keepers, "PATCH", {**items, "base": base, "by": by, "id": change_id})
 
 
 def send_change(keepers: list[str], method: str, body: dict[str, typing.Any]) -> tuple[int, dict[str, typing.Any]]:
-    """(exit code, answer). Sending the same id again is safe: it is accepted once."""
+    """Send a change and return (exit code, answer). Repeating it is safe: keepers accept each id once."""
     status, answer, change_id = 0, {}, body["id"]
     for _attempt in range(3):
         status, answer = first_answer(keepers, method, "/configuration", body)
@@ -87,7 +90,7 @@
 
 
 def fetch_each(addresses, path, text=False):
-    """Map each address to what it answers now, or None; a 503 condition is an answer too."""
+    """Return each address with its current answer, or None if there is none; a 503 response counts as an answer."""
     pool, answers = urllib3.PoolManager(), {}
     for address in addresses:
         try:
--- a/mothshed/programs/route.py
+++ b/mothshed/programs/route.py
@@ -14,11 +14,12 @@
 
 @cappa.command(
     name="mothshed-route",
-    help="Routes requests: prefill, decode, free, relay. Example: mothshed-route --settings route.json",
+    help="Routes requests: prefill, decode, handle release, response relay. "
+    "Example: mothshed-route --settings route.json",
 )
 @dataclasses.dataclass
 class Route(daemon_flags.DaemonFlags):
-    """The router daemon's flags; calling it runs the daemon."""
+    """Flags of the router daemon; calling the instance runs the daemon."""
 
     def __call__(self):
         settings = daemon_flags.load_settings(self)
@@ -26,7 +27,7 @@
 
 
 def route(settings: dict[str, typing.Any]) -> None:
-    """Run a router until it is asked to stop; raises serving.DaemonExit."""
+    """Run a router until a signal stops it; raises serving.DaemonExit."""
     router = router_module.Router(serving.environment_factory(settings)(), settings)
     log_buffer.attach_journal(router.journal)
     router.run()
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -1,7 +1,7 @@
-"""Running a daemon: its environments, its disk, its fronts, signals and the long wait.
+"""Runs a daemon: creates its environments, opens its data folder, serves HTTP and handles signals.
 
-Nothing here reads flags or knows a command line's library: a daemon that is started with settings alone, as on
-the platform, is up sooner and smaller without it.
+This module does not import the command-line library: a daemon that is started from a settings file alone, as on the
+platform, starts faster and uses less memory without it.
 """
 
 import collections.abc
@@ -21,7 +21,7 @@
 
 
 class DaemonExit(Exception):
-    """A daemon ends with this exit code; the text, if any, says why."""
+    """Ends the daemon with an exit code and an optional reason."""
 
     def __init__(self, code: int, reason: str = "") -> None:
         super().__init__(reason)
@@ -29,7 +29,7 @@
 
 
 def environment_factory(settings):
-    """A maker of environments that share one clock thread and one set of peers."""
+    """Return a function that creates environments with one shared timer thread and one shared set of peers."""
     shared_timers = timers.Timers()
     try:
         shared_peers = peers.Peers(settings["address"], settings.get("listen"))
@@ -39,7 +39,7 @@
 
 
 def serve_readiness(address, path, ready):
-    """A front of its own that says on `path` whether this process wants requests."""
+    """Serve `path` on an address of its own: status 200 if this process accepts requests, else 503."""
 
     def app(environ, start_response):
         is_ready = environ["PATH_INFO"] == path and ready()
@@ -50,9 +50,9 @@
 
 
 def open_disk(folder: str, sleep: collections.abc.Callable[[float], None] = time.sleep) -> disk_module.Disk:
-    """The data folder, once it takes writes; raises DiskError if there is no such folder to be had.
+    """Return the data folder once writes to it succeed; raises DiskError if it can't be created.
 
-    sleep: waits so many seconds between two tries.
+    sleep: waits for a number of seconds between two attempts.
     """
     disk = disk_module.Disk(folder)
     while True:
@@ -65,7 +65,7 @@
 
 
 def serve(server, stop, reload_settings=lambda: None):
-    """Serves until SIGTERM or SIGINT, then stop(); a second signal ends at once. SIGHUP: reload_settings()."""
+    """Serve until SIGTERM or SIGINT, then call stop(); a second signal exits at once. SIGHUP: reload_settings()."""
     stop_requested = threading.Event()
 
     def on_stop_signal(number, frame):
@@ -76,7 +76,7 @@
     def on_reload_signal(number, frame):
         try:
             reload_settings()
-        except settings_module.SettingsError as error:  # the old settings stand
+        except settings_module.SettingsError as error:  # the previous settings stay in force
             log_buffer.note("settings_unreadable", reason=str(error))
 
     signal.signal(signal.SIGHUP, on_reload_signal)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -165,7 +165,7 @@
     )
     done = run(str(torn))
     assert done.stdout.splitlines() == ["1970-01-01T00:00:05.000Z - late"]
-    assert done.returncode == 0 and "8 lines were no log lines" in done.stderr
+    assert done.returncode == 0 and "8 lines were not log rows and were skipped" in done.stderr
 
 
 def test_a_missing_file_is_named(files):
