--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A small real fleet that serves, for the length of a with block."""
+"""Runs a small fleet of real processes for the duration of a with block."""
 
 import contextlib
 
--- a/tests/platform_nodes.py
+++ b/tests/platform_nodes.py
@@ -1,4 +1,4 @@
-"""The operator's door on the platform: a real keeper and a real router in one process, over real sockets."""
+"""A keeper and a router on the platform in one process, over real sockets, for tests of the operator's API."""
 
 import json
 
@@ -13,7 +13,7 @@
 
 
 class Nodes:
-    """One keeper, one router that has its lease from there, and one replica."""
+    """One keeper, one router with a lease from it, and one replica."""
 
     def __init__(self, folder):
         self.platform = stand_in.Platform()
@@ -25,8 +25,8 @@
             made.append(platform_site.environment_module.Environment(environment.timers, environment.peers, place))
             return made[-1]
 
-        speech = platform_site.replica_protocol.PlatformReplicaProtocol()
-        speech.list_beat = 0.1
+        replica_protocol = platform_site.replica_protocol.PlatformReplicaProtocol()
+        replica_protocol.list_beat = 0.1
         settings = {
             "name": "k",
             "address": place,
@@ -38,7 +38,7 @@
             "data": str(folder),
         }
         self.keeper = keeper_module.Keeper(
-            environment, settings, new_environment, disk.Disk(folder), replica_protocol=speech
+            environment, settings, new_environment, disk.Disk(folder), replica_protocol=replica_protocol
         )
         self.keeper.run()
         self.keeper_server = self.keeper.front(platform_site.operator_front.OperatorFront)
@@ -54,16 +54,16 @@
                 "seeds": [place],
                 "list_url": list_url,
             },
-            speech,
+            replica_protocol,
         )
         self.router.run()
         self.router_server = self.router.front()
         self.counter = platform_site.serve(self.router_server)
         self.environments, self.part_environments = [environment, other], made
-        platform_site.until(lambda: self.get()[0] == 200, 8.0)
+        platform_site.wait_until(lambda: self.get()[0] == 200, 8.0)
 
     def stop(self):
-        """Stop everything: a keeper or router that went on would read the list of a platform that is gone."""
+        """Stop everything; a running keeper or router would keep polling the list of the stopped platform."""
         for environment in (*self.environments, *self.part_environments):
             environment.stop()
         for server in (self.keeper_server, self.router_server):
@@ -80,7 +80,7 @@
 
     def put(self, body, base):
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
-        for _turn in range(3):  # without a clear answer it is sent again unchanged, as operators do
+        for _attempt in range(3):  # operators repeat a request unchanged if its outcome is unknown
             answer = platform_site.ask(
                 self.address,
                 "PUT",
@@ -110,15 +110,15 @@
 
 
 @pytest.fixture(scope="module")
-def door(tmp_path_factory):
+def nodes(tmp_path_factory):
     found = Nodes(tmp_path_factory.mktemp("data"))
     yield found
     found.stop()
 
 
 @pytest.fixture
-def base(door):
-    """The edition in place; the first is put if there is none."""
-    if not door.latest():
-        assert door.put(document(3), 0).status == 200
-    return door.latest()
+def base(nodes):
+    """Return the edition in force; put a first one if there is none."""
+    if not nodes.latest():
+        assert nodes.put(document(3), 0).status == 200
+    return nodes.latest()
--- a/tests/platform_site.py
+++ b/tests/platform_site.py
@@ -1,7 +1,7 @@
-"""A real router that speaks as the platform does, over real sockets, for tests.
+"""A router with the platform's protocol over real sockets, for tests.
 
-Its lease is one that always runs, so that each test may have a route and replicas of
-its own at once; everything else is the product's. Callers use http.client.
+Only its lease is a fake that never expires, so that each test can add a route and replicas of its own without delay.
+Callers use http.client.
 """
 
 import dataclasses
@@ -35,15 +35,15 @@
     "changeover_s": 1.8,
     "models": [{"name": "m"}],
 }
-LIST_WAIT = 20.0  # s; longest wait for the router's reading of the list; none of the machine's pauses is as long
+LIST_TIMEOUT_S = 20.0  # limit for the router's reading of the list; longer than any scheduling pause of the machine
 PROMPT = {"Model": "m", "Tokens": "3000,80", "Prompt-Prefix": "5c1e:2000,91bd:1000"}
 
 
-def until(true, span=5.0):
-    """Waits for what must come soon."""
-    end = time.monotonic() + span
-    while not true():
-        assert time.monotonic() < end, "it never came"
+def wait_until(condition, timeout_s=5.0):
+    """Wait until condition() is true; fail after timeout_s."""
+    end = time.monotonic() + timeout_s
+    while not condition():
+        assert time.monotonic() < end, "timed out waiting for the condition"
         time.sleep(0.005)
 
 
@@ -70,27 +70,27 @@
     return {**found, "engine": ENGINE} if engine else found
 
 
-def pieces(first=1, last=4, of=4):
-    """The bytes of these events."""
+def event_bytes(first=1, last=4, of=4):
+    """Return the bytes of a range of events."""
     return b"".join(stand_in.event(n, of) for n in range(first, last + 1))
 
 
-def asked(replicas):
-    return sum(len(r.asked) for r in replicas)
+def request_count(replicas):
+    return sum(len(r.requests) for r in replicas)
 
 
-def let(replicas, fault):
-    """The first request that any of these gets meets the fault; the others go as they do."""
+def inject_fault_once(replicas, fault):
+    """Apply the fault to the first request that any of these replicas receives; later requests are unaffected."""
     for replica in replicas:
 
-        def once(conn, request, own, take=replica.take):
-            return take(conn, request, fault if asked(replicas) == 1 else own)
+        def take_faulty_once(conn, request, usual_fault, take=replica.take):
+            return take(conn, request, fault if request_count(replicas) == 1 else usual_fault)
 
-        replica.take = once
+        replica.take = take_faulty_once
 
 
 class Lease:
-    """One that runs, over a document that tests change."""
+    """A lease that never expires, on a document that tests change."""
 
     def __init__(self):
         self.said, self.number, self.form = {"itineraries": [], "depots": [depot("none")]}, 0, None
@@ -122,9 +122,9 @@
 class Answer:
     status: int
     headers: object  # http.client.HTTPMessage
-    body: bytes  # what came, whole or not
+    body: bytes  # received bytes, complete or not
     complete: bool
-    span: float
+    duration_s: float
 
 
 def environment():
@@ -133,7 +133,7 @@
 
 
 def serve(server):
-    """Serves until its stop(); returns ip:port."""
+    """Serve in a thread until stop(); return ip:port."""
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
     host, port = server.bind_addr[:2]
@@ -141,10 +141,10 @@
 
 
 def ask(address, method, target, body=None, headers=(), chunked=False):
-    """One request on a connection of its own. headers: (name, value) rows."""
+    """Send one request on a new connection. headers: (name, value) pairs."""
     host, port = address.rsplit(":", 1)
     conn = http.client.HTTPConnection(host, int(port), timeout=8)
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         conn.putrequest(method, target, skip_host=True, skip_accept_encoding=True)
         for name, value in headers:
@@ -159,7 +159,7 @@
             data, complete = response.read(), True
         except http.client.IncompleteRead as e:
             data, complete = e.partial, False
-        return Answer(response.status, response.headers, data, complete, time.monotonic() - began)
+        return Answer(response.status, response.headers, data, complete, time.monotonic() - started_at)
     finally:
         conn.close()
 
@@ -167,7 +167,7 @@
 class Site:
     def __init__(self):
         self.platform = stand_in.Platform()
-        speech = replica_protocol.PlatformReplicaProtocol()
+        protocol = replica_protocol.PlatformReplicaProtocol()
         self.environment, self.lease, self.count, self.made = environment(), Lease(), 0, []
         settings = {
             "name": "r",
@@ -178,17 +178,17 @@
             "list_url": f"http://{self.platform.address}",
             "slack": 1000,
         }
-        self.router = router_module.Router(self.environment, settings, speech)
+        self.router = router_module.Router(self.environment, settings, protocol)
         self.router.lease = self.lease
-        self.router.retry_budget.started_at -= 100  # old enough to use its part of the slack
-        self.router.replicas.max_list_age = self.router.replicas.request_interval = 0.02  # nobody reads the list for it
-        self.router.replicas.fresh_at = self.environment.now()  # and it does not wait for that first
+        self.router.retry_budget.started_at -= 100  # so that its share of the slack is available
+        self.router.replicas.max_list_age = self.router.replicas.request_interval = 0.02  # it reads the list itself
+        self.router.replicas.fresh_at = self.environment.now()  # so that it does not wait for the first list
         self.router.run()
         self.server = self.router.front()
         self.address = serve(self.server)
 
     def stop(self):
-        """Stop everything: a router that went on would read the list of a platform that is gone."""
+        """Stop everything; a running router would keep polling the list of the stopped platform."""
         self.environment.stop()
         self.server.stop()
         for listener in (*self.platform.replicas.values(), self.platform):
@@ -196,22 +196,28 @@
         self.environment.peers.stop()
 
     def service(self, legs, engine=True, facts=None, **more):
-        """A new service and its route; legs: "pdd" for one reader and two writers. (host, replicas)."""
+        """Add a service and its route; return (host, replicas). legs: "pdd" for one prefill and two decode replicas."""
         self.count += 1
         name = f"s{self.count}"
         found = [
             stand_in.Replica(self.platform, name, {"p": "prefill", "d": "decode"}[leg], **(facts or {})) for leg in legs
         ]
         self.made.append(found)
-        for old in self.made.pop(0) if len(self.made) > 3 else ():  # of a test that is over
+        for old in self.made.pop(0) if len(self.made) > 3 else ():  # of a finished test
             del self.platform.replicas[old.listed]
             old.stop()
         self.lease.change([route(f"r-{name}", f"{name}.example", name, **more)], [depot(name, engine)])
-        until(lambda: all(r.name in self.router.replicas.rows for r in found), LIST_WAIT)
+        wait_until(lambda: all(r.name in self.router.replicas.rows for r in found), LIST_TIMEOUT_S)
         return f"{name}.example", found
 
     def ask(self, host, target="/p/x", body=b"prompt", method="POST", headers=(), prompt=True, chunked=False):
-        """Send a request; give its id and the answer."""
-        own = f"t{next(stand_in.COUNT):08x}"
-        rows = [("Host", host), ("Try-Id", own), ("Time-Left", "4000"), *(PROMPT.items() if prompt else ()), *headers]
-        return own, ask(self.address, method, target, body, rows, chunked)
+        """Send a request; return its id and the answer."""
+        request_id = f"t{next(stand_in.COUNT):08x}"
+        rows = [
+            ("Host", host),
+            ("Try-Id", request_id),
+            ("Time-Left", "4000"),
+            *(PROMPT.items() if prompt else ()),
+            *headers,
+        ]
+        return request_id, ask(self.address, method, target, body, rows, chunked)
--- a/tests/platform_stand_in.py
+++ b/tests/platform_stand_in.py
@@ -1,17 +1,14 @@
-"""A stand-in of the platform: its list of replicas, and replicas that speak its protocol.
-
-Plain sockets on ephemeral ports of the loopback, a thread to a connection. Replicas
-read prompts, hold and hand on handles, run requests as streams of numbered events or
-as one body, and keep an account of all they met. A fault for the next request is put
-into `faults`, one for every request into `always`:
-
-close: end before the head; garbage: these bytes and the end; silent: no head; id: echo
-another id; stamp: False, none; bounce: this status, with proof that nothing ran; own:
-this status, of its own; break: end midway, after so many events; stale: an answer that
-belongs to nobody is sent before the connection's next one; late: the same at once after
-this answer; forget: the handle is gone; run: a prefill runs; after: it goes on after this event,
-whatever was asked; cut: the end comes so many
-bytes before the head's; headers: these besides.
+"""A fake platform: its replica list, and replicas that implement its protocol.
+
+Plain sockets on ephemeral loopback ports, one thread per connection. Replicas answer prefills, hold and consume
+handles, run requests as streams of numbered events or as one body, and record everything they receive. `faults` holds
+faults for the next requests, `always` one for every request:
+
+close: close before the head; garbage: send these bytes and close; silent: send no head; id: echo another id; stamp:
+False, send no stamp; bounce: this status with proof that nothing ran; own: this status from the execution itself;
+break: close after this many events; stale: send an unrelated response before the connection's next one; late: send it
+right after this response; forget: the handle is lost; run: a prefill executes the request; after: continue after this
+event, whatever was requested; cut: close this many bytes before the end of the head; headers: additional fields.
 """
 
 import collections
@@ -31,7 +28,7 @@
 
 
 class Platform(bare_http.Listener):
-    """The list, in pages; and the account of what ran where."""
+    """The paged replica list, and the record of all executions."""
 
     def __init__(self, page=20):
         self.replicas, self.runs, self.page, self.status, self.calls = {}, [], page, 200, 0
@@ -52,7 +49,7 @@
 
 class Replica(bare_http.Listener):
     def __init__(self, platform, depot, leg, **facts):
-        """Facts: zone, berths, condition; events: of a stream, 0 for one body; body: that one; gap: s between them."""
+        """Facts: zone, berths, condition; events: length of a stream, 0 for one body; body; gap: s between events."""
         self.name, self.platform, self.depot, self.leg = f"i-{secrets.token_hex(4)}", platform, depot, leg
         self.facts = {
             "zone": "a",
@@ -64,11 +61,11 @@
             **facts,
         }
         self.faults, self.always = collections.deque(), {}
-        self.asked, self.orders, self.freed, self.left = [], [], [], 0
+        self.requests, self.orders, self.released, self.left = [], [], [], 0
         self.order_status = 202
         self.held, self.stale = {}, {}  # handle -> id of its request; connection -> bytes
         super().__init__()
-        self.listed = self.name  # the list lags: another life may already answer here
+        self.listed = self.name  # the list may lag behind: a new incarnation can already answer at this address
         platform.replicas[self.name] = self
 
     def row(self):
@@ -95,38 +92,38 @@
             return True
         if request.target.startswith("/kv-handle/") and request.method == "DELETE":
             name = urllib.parse.unquote(request.target.rpartition("/")[2])
-            self.freed.append(name)
+            self.released.append(name)
             conn.sendall(bare_http.whole(200 if self.held.pop(name, None) else 404, []))
             return True
         fault = self.faults.popleft() if self.faults else self.always
-        self.asked.append(request)
+        self.requests.append(request)
         return self.take(conn, request, fault or {})
 
     def take(self, conn, request, fault):
-        own = request.get("Try-Id")
+        request_id = request.get("Try-Id")
         conn.sendall(self.stale.pop(request.conn, b""))
         if "close" in fault or "garbage" in fault:
             conn.sendall(fault.get("garbage", b""))
             return False
         if "silent" in fault:
-            conn.recv(1)  # until the caller gives up
+            conn.recv(1)  # until the caller disconnects
             self.left += 1
             return False
-        more = [("Try-Id", fault.get("id", own)), *fault.get("headers", ())]
-        status = self.turned_away(request, fault)
+        headers = [("Try-Id", fault.get("id", request_id)), *fault.get("headers", ())]
+        status = self.rejection_status(request, fault)
         if status:
-            conn.sendall(bare_http.whole(status, [*more, ("Not-Run", "1")], b"not run"))
+            conn.sendall(bare_http.whole(status, [*headers, ("Not-Run", "1")], b"not run"))
             return True
-        reads = request.get("Leg") == "prefill"
-        if reads and "run" not in fault and "own" not in fault:
-            name = f"h/{next(COUNT)}"  # a name that has to be quoted where it stands in a path
-            self.held[name] = own
+        is_prefill = request.get("Leg") == "prefill"
+        if is_prefill and "run" not in fault and "own" not in fault:
+            name = f"h/{next(COUNT)}"  # contains a character that must be quoted in a path
+            self.held[name] = request_id
             body = json.dumps({"consignment": name, "tokens": 1, "edition": 1}).encode()
-            conn.sendall(bare_http.whole(200, [*more, ("Content-Type", "application/json")], body))
+            conn.sendall(bare_http.whole(200, [*headers, ("Content-Type", "application/json")], body))
             return True
-        return self.run(conn, request, fault, more)
+        return self.run(conn, request, fault, headers)
 
-    def turned_away(self, request, fault):
+    def rejection_status(self, request, fault):
         if "bounce" in fault:
             return fault["bounce"]
         if request.get("Expect-Replica", self.name) != self.name:
@@ -138,39 +135,39 @@
         source = request.get("Cache-From")
         if source:
             address, slash, name = source.partition("/")
-            reader = next((r for r in list(self.platform.replicas.values()) if r.address == address), None)
-            leader = reader.held.pop(name, None) if reader and "forget" not in fault else None
-            if leader != request.get("Try-Id"):
+            prefill_replica = next((r for r in list(self.platform.replicas.values()) if r.address == address), None)
+            request_id = prefill_replica.held.pop(name, None) if prefill_replica and "forget" not in fault else None
+            if request_id != request.get("Try-Id"):
                 return 503
         return 0
 
-    def run(self, conn, request, fault, more):
-        stamp, own, after = f"stamp.{next(COUNT)}", request.get("Try-Id"), int(request.get("Last-Event-Id", "0"))
-        self.platform.runs.append({"id": own, "replica": self.name, "after": after, "stamp": stamp})
+    def run(self, conn, request, fault, headers):
+        stamp, request_id, after = f"stamp.{next(COUNT)}", request.get("Try-Id"), int(request.get("Last-Event-Id", "0"))
+        self.platform.runs.append({"id": request_id, "replica": self.name, "after": after, "stamp": stamp})
         if fault.get("stamp", True):
-            more = [*more, ("Postmark", stamp), ("Weight-Versions", "m=1")]
+            headers = [*headers, ("Postmark", stamp), ("Weight-Versions", "m=1")]
         if "own" in fault:
-            conn.sendall(bare_http.whole(fault["own"], more, b"own failure"))
+            conn.sendall(bare_http.whole(fault["own"], headers, b"own failure"))
             return True
         if "cut" in fault:
-            more = [*more, ("X-Last", "12345678"), ("Content-Length", 100)]
-            conn.sendall(bare_http.head(200, more)[: -fault["cut"]])
+            headers = [*headers, ("X-Last", "12345678"), ("Content-Length", 100)]
+            conn.sendall(bare_http.head(200, headers)[: -fault["cut"]])
             return False
         if not self.facts["events"]:
-            data = bare_http.whole(200, [*more, ("Content-Type", "text/x-own")], self.facts["body"])
+            data = bare_http.whole(200, [*headers, ("Content-Type", "text/x-own")], self.facts["body"])
             conn.sendall(data[: len(data) - 2] if "break" in fault else data)
             return "break" not in fault
-        return self.stream(conn, request, fault, more, fault.get("after", after))
+        return self.stream(conn, request, fault, headers, fault.get("after", after))
 
-    def stream(self, conn, request, fault, more, after):
+    def stream(self, conn, request, fault, headers, after):
         last = self.facts["events"]
         conn.sendall(
-            bare_http.head(200, [*more, ("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")])
+            bare_http.head(200, [*headers, ("Content-Type", "text/event-stream"), ("Transfer-Encoding", "chunked")])
         )
         for count, number in enumerate(range(after + 1, last + 1)):
             data = event(number, last)
             if count == fault.get("break"):
-                conn.sendall(bare_http.chunk(data[:-5]))  # and midway in an event
+                conn.sendall(bare_http.chunk(data[:-5]))  # within an event
                 return False
             try:
                 conn.sendall(bare_http.chunk(data))
@@ -185,9 +182,9 @@
             finally:
                 conn.settimeout(None)
         conn.sendall(b"0\r\n\r\n")
-        odd = bare_http.whole(200, [("Try-Id", "long-gone"), ("Postmark", "stamp.0")], b"id: 1\ndata: surplus\n\n")
+        surplus = bare_http.whole(200, [("Try-Id", "long-gone"), ("Postmark", "stamp.0")], b"id: 1\ndata: surplus\n\n")
         if "late" in fault:
-            conn.sendall(odd)
+            conn.sendall(surplus)
         if "stale" in fault:
-            self.stale[request.conn] = odd
+            self.stale[request.conn] = surplus
         return True
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -106,9 +106,11 @@
         ]
         said = {"edition": 1, "itineraries": routes, "depots": [platform_site.depot(n, False) for n in SERVICES]}
         data, headers = json.dumps(said).encode(), [("Host", "k"), ("If-Match", "0")]
-        platform_site.until(lambda: self.answers(self.control, "PUT", "/configuration", data, headers) == 200, 20.0)
+        platform_site.wait_until(
+            lambda: self.answers(self.control, "PUT", "/configuration", data, headers) == 200, 20.0
+        )
         own = [("Host", "one.example"), ("Try-Id", "first")]
-        platform_site.until(lambda: self.answers(self.door, "POST", "/p/first", b"", own) == 200, 20.0)
+        platform_site.wait_until(lambda: self.answers(self.door, "POST", "/p/first", b"", own) == 200, 20.0)
 
     def answers(self, address, method, target, body, headers):
         """Give the status of one call, 0 after a failure."""
--- a/tests/test_callers_leave.py
+++ b/tests/test_callers_leave.py
@@ -43,14 +43,14 @@
 
 def leave_during_silence(site, caller, replica):
     """Disconnect once the request is at the replica; return when the replica saw its connection closed."""
-    platform_site.until(lambda: replica.asked)
+    platform_site.wait_until(lambda: replica.requests)
     caller.leave()
-    platform_site.until(lambda: replica.left == 1, WAIT_S)
+    platform_site.wait_until(lambda: replica.left == 1, WAIT_S)
     wait_until_ended(site)
 
 
 def wait_until_ended(site):
-    platform_site.until(lambda: site.router.in_flight == 0, WAIT_S)
+    platform_site.wait_until(lambda: site.router.in_flight == 0, WAIT_S)
 
 
 @pytest.mark.parametrize("surplus", [b"", b"POST /p/y HTTP/1.1\r\n"], ids=["closed", "closed after surplus bytes"])
@@ -58,7 +58,7 @@
     host, (prefill_replica, decode_replica) = service(site, "pd")
     prefill_replica.always = {"silent": True}
     leave_during_silence(site, Caller(site, host, surplus=surplus), prefill_replica)
-    assert platform_site.asked([decode_replica]) == 0 and len(prefill_replica.asked) == 1
+    assert platform_site.request_count([decode_replica]) == 0 and len(prefill_replica.requests) == 1
 
 
 @pytest.mark.parametrize("resumable, tries", [(False, 1), (True, 2)], ids=["runs once", "may be taken up"])
@@ -67,12 +67,12 @@
     for decode_replica in decode_replicas:
         decode_replica.always = {"silent": True}
     caller = Caller(site, host)
-    platform_site.until(lambda: platform_site.asked(decode_replicas) == 1)
+    platform_site.wait_until(lambda: platform_site.request_count(decode_replicas) == 1)
     caller.leave()
-    platform_site.until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
+    platform_site.wait_until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
     wait_until_ended(site)
-    assert platform_site.asked(decode_replicas) == 1
-    platform_site.until(lambda: prefill_replica.freed, WAIT_S)  # the handle is released
+    assert platform_site.request_count(decode_replicas) == 1
+    platform_site.wait_until(lambda: prefill_replica.released, WAIT_S)  # the handle is released
 
 
 @pytest.mark.parametrize("resumable", [False, True])
@@ -83,9 +83,9 @@
     caller = Caller(site, host)
     assert caller.socket.recv(5)
     caller.leave()
-    platform_site.until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
+    platform_site.wait_until(lambda: sum(decode_replica.left for decode_replica in decode_replicas) == 1, WAIT_S)
     wait_until_ended(site)
-    assert platform_site.asked(decode_replicas) == 1
+    assert platform_site.request_count(decode_replicas) == 1
 
 
 def test_leaving_while_the_response_is_gathered_cancels_the_run(site):
@@ -118,6 +118,6 @@
 
     monkeypatch.setattr(site.router.placement, "reserve_pair", pair_after_caller_left)
     caller = Caller(site, host)
-    platform_site.until(lambda: pair_calls)
+    platform_site.wait_until(lambda: pair_calls)
     wait_until_ended(site)
-    assert platform_site.asked(replicas) == 0
+    assert platform_site.request_count(replicas) == 0
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -20,7 +20,7 @@
     """Start a drain; the event that is returned is set once it has ended."""
     ended = threading.Event()
     threading.Thread(target=lambda: site.router.drain(8) and ended.set(), daemon=True).start()
-    platform_site.until(lambda: site.router.stopping)
+    platform_site.wait_until(lambda: site.router.stopping)
     return ended
 
 
@@ -32,7 +32,7 @@
     response = conn.getresponse()
     ended = start_drain(site)
     assert not ended.is_set()
-    assert response.read() == platform_site.pieces(1, 6, 6)  # http.client raises if the last chunk is missing
+    assert response.read() == platform_site.event_bytes(1, 6, 6)  # http.client raises if the last chunk is missing
     assert ended.wait(8)
     conn.close()
 
@@ -42,7 +42,7 @@
     address, port = site.address.rsplit(":", 1)
     with socket.create_connection((address, int(port)), 8) as conn:
         conn.sendall(b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Le" % host.encode())
-        platform_site.until(site.server.exchanging)
+        platform_site.wait_until(site.server.exchanging)
         ended = start_drain(site)
         assert not ended.wait(0.2)
         conn.sendall(b"ngth: 3\r\n\r\nabc")
@@ -50,7 +50,7 @@
         response.begin()
         assert response.status == 503 and response.headers["Connection"] == "close" and response.headers["Retry-After"]
         assert b"not_run" in response.read()
-        assert ended.wait(8) and replica.asked == []
+        assert ended.wait(8) and replica.requests == []
 
 
 def test_responses_while_leaving_close_their_connection(site):
--- a/tests/test_exchange_moments.py
+++ b/tests/test_exchange_moments.py
@@ -93,8 +93,8 @@
 
         replica.run = run
     request_id, response = site.ask(host, prompt=False)
-    platform_site.until(lambda: site.router.in_flight == 0)
-    return site.platform.ran(request_id), response, platform_site.asked(replicas)
+    platform_site.wait_until(lambda: site.router.in_flight == 0)
+    return site.platform.ran(request_id), response, platform_site.request_count(replicas)
 
 
 def is_unproven_failure(response):
@@ -117,7 +117,7 @@
         assert is_unproven_failure(response)
     else:  # only complete events, and not the end of the stream
         last = 2 if moment == "in the body" else EVENTS
-        assert response.status == 200 and not response.complete and response.body == platform_site.pieces(1, last)
+        assert response.status == 200 and not response.complete and response.body == platform_site.event_bytes(1, last)
 
 
 @pytest.mark.parametrize("how", ENDS)
@@ -134,7 +134,7 @@
 def test_a_resumable_stream_is_completed_without_duplicate_events(site, moment, how):
     runs, response, count = send_request(site, how, moment, kind="stream", resumable=True)
     assert count == 2 and len(runs) == 2 and len({run["replica"] for run in runs}) == 2
-    assert (response.status, response.body, response.complete) == (200, platform_site.pieces(), True)
+    assert (response.status, response.body, response.complete) == (200, platform_site.event_bytes(), True)
     begun = moment not in ("before the head", "in the head", "after the head")
     assert response.headers.get_all("Postmark") == [runs[0 if begun else 1]["stamp"]]
 
@@ -145,7 +145,7 @@
     replica.conns[-1].shutdown(socket.SHUT_RDWR)
     request_id, response = site.ask(host, prompt=False)
     assert response.status == 200 and len(site.platform.ran(request_id)) == 1
-    assert [request.conn for request in replica.asked] == [1, 2]
+    assert [request.conn for request in replica.requests] == [1, 2]
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
@@ -154,7 +154,7 @@
     host, replicas = site.service("dd", engine=False, kind="once_only", tries=2, facts={"events": 0})
     for _ in range(6):
         site.ask(host, prompt=False)
-    before, reused = platform_site.asked(replicas), site.environment.kept.reused
+    before, reused = platform_site.request_count(replicas), site.environment.kept.reused
     former_take = site.environment.kept.take
 
     def take_and_close(*args):
@@ -174,7 +174,7 @@
     assert (
         is_unproven_failure(response)
         and site.platform.ran(request_id) == []
-        and platform_site.asked(replicas) == before
+        and platform_site.request_count(replicas) == before
     )
 
 
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -21,11 +21,11 @@
     """Sends the next of its replies to each request, and keeps its connections open."""
 
     def __init__(self, *replies):
-        self.replies, self.asked = list(replies), []
+        self.replies, self.requests = list(replies), []
         super().__init__()
 
     def answer(self, conn, request):
-        self.asked.append(request)
+        self.requests.append(request)
         conn.sendall(self.replies.pop(0))
         return True
 
@@ -58,14 +58,14 @@
     idle, server = kept.Kept(lambda: 0.0), serve(first + surplus, TWO)
     assert ask(idle, server).all() == b"one"
     assert idle.idle.get(server.address, []) == []
-    assert ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
+    assert ask(idle, server).all() == b"two" and [r.conn for r in server.requests] == [1, 2]
 
 
 def test_two_sends_of_one_request_never_share_a_connection(serve):
     idle, server = kept.Kept(lambda: 0.0), serve(ONE, TWO, ONE, TWO)
     for name in ("a", "a", "b", "a"):
         ask(idle, server, name).all()
-    assert [r.conn for r in server.asked] == [1, 2, 2, 3] and idle.reused == 1
+    assert [r.conn for r in server.requests] == [1, 2, 2, 3] and idle.reused == 1
 
 
 def test_a_duplicate_rejection_is_not_taken_for_the_response_to_the_next_send_of_its_request(site):
@@ -87,7 +87,7 @@
     replica.take = take
     request_id, response = site.ask(host, prompt=False)
     assert len(site.platform.ran(request_id)) == 1 and response.status == 200 and response.body == b"said"
-    assert replica.asked[0].conn != replica.asked[1].conn
+    assert replica.requests[0].conn != replica.requests[1].conn
 
 
 @pytest.mark.parametrize(
@@ -107,7 +107,7 @@
     idle, server = kept.Kept(lambda: 0.0), serve(bare_http.head(200, head) + b"3\r\nabc\r\n0\r\n\r\n", TWO)
     with pytest.raises(web.WebFault) as fault:
         ask(idle, server).all()
-    assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
+    assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.requests] == [1, 2]
 
 
 def test_a_status_that_is_not_final_is_an_error(serve):
@@ -131,7 +131,7 @@
     idle, server = kept.Kept(lambda: 0.0), serve(CHUNKED + data, TWO)
     with pytest.raises(web.WebFault) as fault:
         ask(idle, server).all()
-    assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
+    assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.requests] == [1, 2]
 
 
 @pytest.mark.parametrize("status", [408, 429, 503])
@@ -157,4 +157,4 @@
 
     monkeypatch.setattr(site.environment.kept, "connect", connect_late)
     request_id, response = site.ask(host, prompt=False)
-    assert response.status == 503 and b"not_run" in response.body and replica.asked == []
+    assert response.status == 503 and b"not_run" in response.body and replica.requests == []
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -149,7 +149,7 @@
     gated.go.set()
     with gated.connect() as conn, gated.connect() as idle_one:
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.exchanging)
+        platform_site.wait_until(gated.server.exchanging)
         gated.server.idle_limit = idle.IdleLimit(0.0)
         assert idle_one.recv(1) == b""
         conn.sendall(REQUEST[9:])
@@ -161,7 +161,7 @@
     with gated.connect() as conn:
         assert not gated.server.exchanging()
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.exchanging)
+        platform_site.wait_until(gated.server.exchanging)
         conn.sendall(REQUEST[9:])
         conn.recv(1)
-        platform_site.until(lambda: not gated.server.exchanging())
+        platform_site.wait_until(lambda: not gated.server.exchanging())
--- a/tests/test_key_secrecy.py
+++ b/tests/test_key_secrecy.py
@@ -69,7 +69,7 @@
     router = site.router
     return "\n".join(
         [
-            repr([(r.method, r.target, r.headers, r.body) for replica in replicas for r in replica.asked]),
+            repr([(r.method, r.target, r.headers, r.body) for replica in replicas for r in replica.requests]),
             repr([(response.status, response.headers.items(), response.body)]),
             repr(list(router.journal.events)),
             router.totals.text(router.environment.figures()),
@@ -91,9 +91,9 @@
 
 def test_the_key_of_a_resumed_stream_never_appears(site, log_file):
     host, replicas = site.service("pdd", resumable=True, tries=2)
-    platform_site.let(replicas[1:], {"break": 2})
+    platform_site.inject_fault_once(replicas[1:], {"break": 2})
     _request_id, response = site.ask(host, headers=BEARER)
-    assert response.complete and response.body == platform_site.pieces()
+    assert response.complete and response.body == platform_site.event_bytes()
     assert MARK not in request_output(site, response, replicas, log_file)
 
 
@@ -211,7 +211,7 @@
     first = platform_nodes.document(3, senders=TENANTS)
     assert nodes.put(first, 0).body == b'{"edition": 3}'
     assert patch(nodes, 3, deliver={"senders": [{"name": "late", "permits": [KEY + "-c"]}]}).status == 200
-    platform_site.until(lambda: nodes.router.lease.sequence() == 4)
+    platform_site.wait_until(lambda: nodes.router.lease.sequence() == 4)
     assert nodes.get()[1]["senders"][-1] == {"name": "late", "permits": [KEY + "-c"]}
     assert packed and MARK not in nodes_output(nodes, log_file, packed)
 
--- a/tests/test_leaving_writer.py
+++ b/tests/test_leaving_writer.py
@@ -18,7 +18,7 @@
 
     def taken(conn, request, fault):
         leaver.facts["condition"] = "winding_down"
-        platform_site.until(lambda: leaver.name in site.router.replicas.leaving())
+        platform_site.wait_until(lambda: leaver.name in site.router.replicas.leaving())
         return take(conn, request, fault)
 
     reader.take = taken
@@ -36,15 +36,15 @@
         own, answer = site.ask(host)
     finally:
         site.router.placement.choose_decode = choose
-    assert (answer.status, answer.body) == (200, platform_site.pieces())
-    assert [len(replica.asked) for replica in (reader, *writers)] == [1, 0, 1]
-    assert writers[1].asked[0].get("Cache-From") and len(taken) == 2
-    platform_site.until(lambda: not any(site.router.replicas.own_requests.values()))
+    assert (answer.status, answer.body) == (200, platform_site.event_bytes())
+    assert [len(replica.requests) for replica in (reader, *writers)] == [1, 0, 1]
+    assert writers[1].requests[0].get("Cache-From") and len(taken) == 2
+    platform_site.wait_until(lambda: not any(site.router.replicas.own_requests.values()))
 
 
 def test_without_another_decode_replica_the_request_is_rejected_and_its_handle_released(site):
     host, (reader, writer) = site.service("pd")
     leave_during_prefill(site, reader, writer)
     own, answer = site.ask(host)
-    assert answer.status == 503 and writer.asked == [] and site.platform.ran(own) == []
-    platform_site.until(lambda: reader.held == {} and not any(site.router.replicas.own_requests.values()))
+    assert answer.status == 503 and writer.requests == [] and site.platform.ran(own) == []
+    platform_site.wait_until(lambda: reader.held == {} and not any(site.router.replicas.own_requests.values()))
--- a/tests/test_operate_keys.py
+++ b/tests/test_operate_keys.py
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def keeper(monkeypatch):
-    """A keeper that the commands ask, and what its front was sent; its newest document is of sequence 1."""
+    """A keeper called by the commands, and the requests it received; its latest document has sequence 1."""
     member = operators.FakeLeader()
     parts = operators.keeper(member)
     parts.leader_tasks = [types.SimpleNamespace(report=dict)]
@@ -56,11 +56,11 @@
 
 
 def printed(capsys, word):
-    """What stands behind a word at the beginning of the lines printed so far."""
+    """Return the second words of the printed lines that begin with a word."""
     return [line.split()[1] for line in capsys.readouterr().out.splitlines() if line.startswith(word + " ")]
 
 
-def test_make_prints_a_new_key_each_time_and_tells_nobody(keeper, capsys):
+def test_make_prints_a_new_key_each_time_and_sends_nothing(keeper, capsys):
     assert run("key", "make") == 0 and run("key", "make") == 0
     lines = [line.split() for line in capsys.readouterr().out.splitlines()]
     assert [word for word, _text in lines] == ["key", "digest"] * 2
@@ -77,7 +77,7 @@
     assert run("key", "digest", "a key") == 2
 
 
-def test_add_puts_the_key_beside_the_former_one_and_leaves_all_else(keeper):
+def test_add_keeps_the_former_key_and_changes_nothing_else(keeper):
     before = json.loads(json.dumps(tenants(keeper)))
     new = tenant_keys.digest_of("the new key")
     assert run("key", "add", "riders", new, *KEEPER) == 0
@@ -85,7 +85,7 @@
     assert [method for method, *_rest in keeper.sent] == ["GET", "PATCH"] and keeper.sent[1][2]["base"] == 1
 
 
-def test_remove_takes_away_this_key_only(keeper, capsys):
+def test_remove_removes_only_the_given_key(keeper, capsys):
     new = tenant_keys.digest_of("the new key")
     assert run("key", "add", "riders", new, *KEEPER) == 0
     assert run("key", "remove", "riders", FORMER, *KEEPER) == 0
@@ -134,20 +134,20 @@
         "nobody",
     ],
 )
-def test_what_does_not_fit_changes_nothing_and_shows_no_key(keeper, capsys, words):
+def test_invalid_commands_change_nothing_and_print_no_key(keeper, capsys, words):
     assert run("key", *words, *KEEPER) == 2
     assert keeper.member.machine.latest == 1
     shown = capsys.readouterr()
     assert "given by mistake" not in shown.out + shown.err and printed(capsys, "key") == []
 
 
-def test_a_change_of_somebody_else_in_between_ends_with_5(keeper, monkeypatch, capsys):
-    def overtaken(keepers, method, path, body=None):
+def test_a_concurrent_change_ends_the_command_with_5(keeper, monkeypatch, capsys):
+    def change_concurrently(keepers, method, path, body=None):
         if method == "PATCH":
             other = {"put": {"tenants": {"others": {"share": 1}}}, "base": 1, "id": "other"}
             assert keeper.first_answer(keepers, "PATCH", "/configuration", other)[0] == 200
         return keeper.first_answer(keepers, method, path, body)
 
-    monkeypatch.setattr(operator_client, "first_answer", overtaken)
+    monkeypatch.setattr(operator_client, "first_answer", change_concurrently)
     assert run("key", "rotate", "riders", *KEEPER) == 5
     assert tenants(keeper)["riders"]["keys"] == [FORMER] and printed(capsys, "key") == []
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -85,7 +85,7 @@
     host, (bad, *good) = site.service("ddd", engine=False, kind="repeatable", tries=1)
     bad.always = {"own": 500}
     statuses = [site.ask(host, prompt=False)[1].status for _ in range(60)]
-    assert statuses.count(500) == len(bad.asked) <= 3
+    assert statuses.count(500) == len(bad.requests) <= 3
 
 
 def test_replicas_that_all_fail_alike_still_get_requests(site):
@@ -93,4 +93,4 @@
     for replica in replicas:
         replica.always = {"own": 500}
     statuses = [site.ask(host, prompt=False)[1].status for _ in range(30)]
-    assert statuses == [500] * 30 and all(replica.asked for replica in replicas)
+    assert statuses == [500] * 30 and all(replica.requests for replica in replicas)
--- a/tests/test_plan_over_changes.py
+++ b/tests/test_plan_over_changes.py
@@ -30,7 +30,7 @@
 
 
 def count_requests(replicas, leg):
-    return sum(request.get("Leg", "decode") == leg for replica in replicas for request in replica.asked)
+    return sum(request.get("Leg", "decode") == leg for replica in replicas for request in replica.requests)
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
     during_prefill(replicas[0], lapse)
     request_id, response = site.ask(host)
     assert response.status == 200 and count_requests(replicas, "prefill") == 1
-    (decode,) = replicas[1].asked
+    (decode,) = replicas[1].requests
     assert decode.get("Cache-From")  # it used the exported KV memory
 
 
--- a/tests/test_platform_configurations.py
+++ b/tests/test_platform_configurations.py
@@ -1,4 +1,4 @@
-"""Which configurations the operator's door takes and which it refuses, whole."""
+"""Which configurations the operator's API accepts and which it rejects as a whole."""
 
 import copy
 import json
@@ -8,14 +8,14 @@
 import tests.platform_nodes as platform_nodes
 import tests.platform_site as platform_site
 
-door, base = platform_nodes.door, platform_nodes.base
+nodes, base = platform_nodes.nodes, platform_nodes.base
 
 
 def route_with(**change):
     return {**platform_site.route("r-one", "one.example", "one"), **change}
 
 
-def two(**change):
+def two_routes(**change):
     return [route_with(), route_with(name="r-two", host="two.example") | change]
 
 
@@ -46,8 +46,8 @@
     "deadline 0": platform_nodes.document(0, route_with(deadline_ms=0)),
     "deadline below 0": platform_nodes.document(0, route_with(deadline_ms=-5)),
     "deadline as text": platform_nodes.document(0, route_with(deadline_ms="8000")),
-    "two routes in one place": platform_nodes.document(0, *two(host="one.example")),
-    "two routes in one place, in other letters": platform_nodes.document(0, *two(host="ONE.example")),
+    "two routes in one place": platform_nodes.document(0, *two_routes(host="one.example")),
+    "two routes in one place, in other letters": platform_nodes.document(0, *two_routes(host="ONE.example")),
     "the last of many is wrong": platform_nodes.document(
         0, *[platform_site.route(f"r{n}", f"h{n}", "one") for n in range(60)], route_with(deadline_ms=0)
     ),
@@ -78,12 +78,12 @@
 
 
 @pytest.mark.parametrize("name", INVALID)
-def test_an_invalid_configuration_is_turned_away_whole(door, base, name):
+def test_an_invalid_configuration_is_rejected_as_a_whole(nodes, base, name):
     sent = copy.deepcopy(INVALID[name])
     if "edition" in sent:
         sent["edition"] = base + 1
-    before = door.get()
-    assert 400 <= door.put(sent, base).status < 500 and door.get() == before
+    before = nodes.get()
+    assert 400 <= nodes.put(sent, base).status < 500 and nodes.get() == before
 
 
 VALID = {
@@ -97,10 +97,10 @@
         0, {k: v for k, v in route_with().items() if k not in ("target_ms", "headway_ms")}
     ),
     "the shortest and the longest": platform_nodes.document(
-        0, *two(deadline_ms=1), route_with(host="three", name="r3", deadline_ms=600000, tries=9)
+        0, *two_routes(deadline_ms=1), route_with(host="three", name="r3", deadline_ms=600000, tries=9)
     ),
     "one prefix on two hosts, one within another": platform_nodes.document(
-        0, *two(), *two(prefix="/p/q/")[1:], route_with(prefix="/", name="all")
+        0, *two_routes(), *two_routes(prefix="/p/q/")[1:], route_with(prefix="/", name="all")
     ),
     "depots without engines, one unused": platform_nodes.document(
         0, depots=[platform_site.depot("one", False), platform_site.depot("spare", False)]
@@ -134,9 +134,9 @@
 
 
 @pytest.mark.parametrize("name", VALID)
-def test_a_valid_configuration_is_acknowledged(door, base, name):
+def test_a_valid_configuration_is_acknowledged(nodes, base, name):
     sent = {**VALID[name], "edition": base + 1}
-    assert door.put(sent, base).status == 200 and door.get() == (200, sent)
+    assert nodes.put(sent, base).status == 200 and nodes.get() == (200, sent)
 
 
 @pytest.mark.parametrize(
@@ -153,24 +153,24 @@
         lambda b: [b + 1],
     ],
 )
-def test_an_edition_that_does_not_rise_is_turned_away(door, base, edition):
-    before = door.get()
+def test_an_edition_that_does_not_increase_is_rejected(nodes, base, edition):
+    before = nodes.get()
     assert (
-        400 <= door.put(platform_nodes.document(edition(base), note="other"), base).status < 500
-        and door.get() == before
+        400 <= nodes.put(platform_nodes.document(edition(base), note="other"), base).status < 500
+        and nodes.get() == before
     )
 
 
 @pytest.mark.parametrize("cut", [0, 1, 0.1, 0.5, 0.9, -1])
-def test_what_cannot_be_read_whole_is_turned_away(door, base, cut):
+def test_a_truncated_body_is_rejected(nodes, base, cut):
     data = json.dumps(platform_nodes.document(base + 1)).encode()
     end = cut if isinstance(cut, int) else int(cut * len(data))
-    before = door.get()
-    assert 400 <= door.put(data[:end], base).status < 500 and door.get() == before
+    before = nodes.get()
+    assert 400 <= nodes.put(data[:end], base).status < 500 and nodes.get() == before
 
 
 @pytest.mark.parametrize(
     "data", [b"[]", b"7", b"null", b"\xff\xfe", b"[" * 100000, b"{}", b'{"edition": NaN}'], ids=repr
 )
-def test_what_is_no_configuration_is_turned_away(door, base, data):
-    assert 400 <= door.put(data[:100001], base).status < 500 and door.latest() == base
+def test_a_body_that_is_no_configuration_is_rejected(nodes, base, data):
+    assert 400 <= nodes.put(data[:100001], base).status < 500 and nodes.latest() == base
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's words and folder: known in one place, and not in the way of Python's own `platform`."""
+"""The platform's names are used in its folder only, and the folder does not hide the standard library's `platform`."""
 
 import ast
 import json
@@ -50,13 +50,15 @@
 
 
 @pytest.mark.parametrize("word", WORDS)
-def test_no_word_of_the_platform_is_known_outside_its_folder(word):
-    case = re.IGNORECASE if re.search("[-_]", word) else 0  # a word of plain English counts as the platform writes it
+def test_names_of_the_platform_are_used_in_its_folder_only(word):
+    case = (
+        re.IGNORECASE if re.search("[-_]", word) else 0
+    )  # common English words match only as the platform spells them
     parts = re.compile(rf"(?<![A-Za-z0-9]){word}(?![A-Za-z0-9])", case)
     assert [str(p.relative_to(ROOT)) for p in PRODUCT if parts.search(p.read_text())] == []
 
 
-def test_the_product_takes_nothing_from_the_folder():
+def test_other_packages_import_nothing_from_the_folder():
     names = {p.stem for p in (ROOT / "platform").glob("*.py")}
     assert names
     found = [
@@ -85,14 +87,14 @@
 @pytest.mark.parametrize(
     "path", [[], [str(ROOT / "platform")], [str(ROOT)], [str(ROOT), str(ROOT / "platform")]], ids=len
 )
-def test_pythons_own_platform_stays_what_it_is(path):
+def test_import_platform_gives_the_standard_library_module(path):
     done = run(
         ["-c", "import platform; print(platform.__file__); platform.system()"], {"PYTHONPATH": os.pathsep.join(path)}
     )
     assert done.returncode == 0 and not pathlib.Path(done.stdout.strip()).is_relative_to(ROOT), done.stderr
 
 
-def test_the_folder_is_no_package_and_hides_no_module():
+def test_the_folder_is_no_package_and_hides_no_standard_module():
     names = {p.stem for p in (ROOT / "platform").glob("*.py")}
     assert "__init__" not in names and names & set(sys.stdlib_module_names) == set()
 
@@ -111,40 +113,40 @@
     return run([str(ROOT / "platform" / "start.py"), *words], {"MOTHSHED_SETTINGS": str(path)}, tmp_path)
 
 
-def spoiled(**change):
+def settings_with(**change):
     return json.dumps({**SETTINGS, **change})
 
 
 BAD = {
     "missing": None,
     "empty": "",
-    "torn": json.dumps(SETTINGS)[:60],
+    "truncated": json.dumps(SETTINGS)[:60],
     "a list": "[]",
     "a number": "7",
     "no bytes of a text": "\ud7ff\x00",
-    "no address of its own": spoiled(own_ip=None),
-    "no zone": spoiled(zone=""),
-    "no gates": spoiled(gates={}),
-    "no seeds": spoiled(seed_nodes=[]),
-    "a name that is none": spoiled(station="a b"),
-    "no ports": spoiled(port_range=[]),
-    "a port that is none": spoiled(port_range=[70000, 70001]),
-    "no provider": spoiled(provider={}),
-    "gates as text": spoiled(gates="x"),
-    "a gate that is no address": spoiled(gates={"counter": "here"}),
-    "grace as text": spoiled(guarantees={"grace_s": "long"}),
+    "no address of its own": settings_with(own_ip=None),
+    "no zone": settings_with(zone=""),
+    "no gates": settings_with(gates={}),
+    "no seeds": settings_with(seed_nodes=[]),
+    "a name that is none": settings_with(station="a b"),
+    "no ports": settings_with(port_range=[]),
+    "a port that is none": settings_with(port_range=[70000, 70001]),
+    "no provider": settings_with(provider={}),
+    "gates as text": settings_with(gates="x"),
+    "a gate that is no address": settings_with(gates={"counter": "here"}),
+    "grace as text": settings_with(guarantees={"grace_s": "long"}),
 }
 
 
 @pytest.mark.parametrize("program", ["route", "keep"])
-@pytest.mark.parametrize("name", ["missing", "torn"])
-def test_settings_that_cannot_be_read_are_one_line_and_exit_2(tmp_path, program, name):
+@pytest.mark.parametrize("name", ["missing", "truncated"])
+def test_unreadable_settings_give_one_line_and_exit_2(tmp_path, program, name):
     done = start([program], BAD[name], tmp_path)
-    said = (done.stderr + done.stdout).strip()
-    assert done.returncode == 2 and said and len(said.splitlines()) == 1 and "Traceback" not in said, said
+    output = (done.stderr + done.stdout).strip()
+    assert done.returncode == 2 and output and len(output.splitlines()) == 1 and "Traceback" not in output, output
 
 
-def test_settings_with_any_fault_are_one_line_and_exit_2(tmp_path):
+def test_invalid_settings_give_one_line_and_exit_2(tmp_path):
     for number, text in enumerate(BAD.values()):
         if text is not None:
             (tmp_path / str(number)).write_text(text)
@@ -160,18 +162,18 @@
     )
 
 
-def test_settings_that_nobody_named_are_one_line_and_exit_2():
+def test_an_unset_settings_variable_gives_one_line_and_exit_2():
     done = run([str(ROOT / "platform" / "start.py"), "route"], {"MOTHSHED_SETTINGS": None})
     assert done.returncode == 2 and len(done.stderr.strip().splitlines()) == 1 and "MOTHSHED_SETTINGS" in done.stderr
 
 
 @pytest.mark.parametrize("words", [[], ["other"], ["route", "keep"]])
-def test_a_program_that_is_none_is_exit_2(tmp_path, words):
+def test_an_unknown_program_gives_exit_2(tmp_path, words):
     done = start(words, json.dumps(SETTINGS), tmp_path)
     assert done.returncode == 2 and len(done.stderr.strip().splitlines()) == 1
 
 
-def test_fields_that_nobody_knows_are_passed_over():
+def test_unknown_fields_are_ignored():
     more = {
         "new": {"deep": [1]},
         "gates": {**SETTINGS["gates"], "new": 7},
@@ -179,16 +181,16 @@
     }
     code = "import json, sys, node_settings as n; print(json.dumps([n.translate(json.loads(t)) for t in sys.argv[1:]]))"
     paths = os.pathsep.join([str(ROOT), str(ROOT / "platform")])
-    done = run(["-c", code, json.dumps(SETTINGS), spoiled(**more)], {"PYTHONPATH": paths})
+    done = run(["-c", code, json.dumps(SETTINGS), settings_with(**more)], {"PYTHONPATH": paths})
     plain, odd = json.loads(done.stdout)
     assert plain == odd and plain["http"] == "127.0.0.1:20001" and plain["list_url"] == "http://127.0.0.1:20003"
 
 
-def test_the_guarantees_become_bounds_of_our_own():
-    said = spoiled(guarantees={"edition_ms": 2500, "tenure_ms": 3000, "grace_s": 8})
+def test_guarantees_are_translated_to_settings():
+    node = settings_with(guarantees={"edition_ms": 2500, "tenure_ms": 3000, "grace_s": 8})
     code = "import json, sys, node_settings as n; print(json.dumps([n.translate(json.loads(t)) for t in sys.argv[1:]]))"
     paths = os.pathsep.join([str(ROOT), str(ROOT / "platform")])
-    done = run(["-c", code, said, spoiled(guarantees={})], {"PYTHONPATH": paths})
+    done = run(["-c", code, node, settings_with(guarantees={})], {"PYTHONPATH": paths})
     named, unnamed = json.loads(done.stdout)
     assert (named["in_force_s"], named["tenure_s"]) == (2.5, 3.0)
     assert "in_force_s" not in unnamed and "tenure_s" not in unnamed
--- a/tests/test_platform_raw.py
+++ b/tests/test_platform_raw.py
@@ -1,4 +1,4 @@
-"""Requests with a doubtful framing, byte for byte: nothing is smuggled in, and none is run changed."""
+"""Requests with ambiguous framing, byte for byte: no request smuggling, and no request is run altered."""
 
 import socket
 
@@ -18,8 +18,8 @@
     found.stop()
 
 
-def say(site, data, span=0.4):
-    """All that comes back until the end or a silence."""
+def exchange_bytes(site, data, span=0.4):
+    """Send bytes; return everything received until the end or until span seconds of silence."""
     host, port = site.address.rsplit(":", 1)
     rows = []
     with socket.create_connection((host, int(port)), 2) as conn:
@@ -68,9 +68,9 @@
         b"Try-Id: outer-" + mark.encode(),
         *FRAMINGS[name](len(inner)),
     ]
-    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n" + b"0\r\n\r\n" + inner)
+    response = exchange_bytes(site, b"\r\n".join(rows) + b"\r\n\r\n" + b"0\r\n\r\n" + inner)
     assert site.platform.ran("smuggled-" + mark) == []
-    assert len(replica.asked) <= 1 and said.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
+    assert len(replica.requests) <= 1 and response.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
     ],
     ids=repr,
 )
-def test_a_request_that_is_not_whole_is_sent_nowhere(site, data):
+def test_an_incomplete_request_is_not_forwarded(site, data):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     address, port = site.address.rsplit(":", 1)
     with socket.create_connection((address, int(port)), 2) as conn:
@@ -96,47 +96,47 @@
         conn.shutdown(socket.SHUT_WR)
         conn.settimeout(1.0)
         try:
-            said = conn.recv(65536)
+            response = conn.recv(65536)
         except (TimeoutError, ConnectionResetError):
-            said = b""
-    assert [(r.method, r.target, r.body) for r in replica.asked] == [] and b" 200 " not in said[:20]
+            response = b""
+    assert [(r.method, r.target, r.body) for r in replica.requests] == [] and b" 200 " not in response[:20]
 
 
-def test_a_body_that_stalls_until_its_time_is_over_is_sent_nowhere(site, monkeypatch):
+def test_a_body_that_stalls_past_its_timeout_is_not_forwarded(site, monkeypatch):
     monkeypatch.setattr(constants, "REQUEST_READ_TIMEOUT_S", 0.3)
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
-    said = say(
+    response = exchange_bytes(
         site, b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Length: 9\r\n\r\nabc" % host.encode(), 1.5
     )
-    platform_site.until(lambda: site.router.in_flight == 0)
-    assert [r.body for r in replica.asked] == [] and b" 200 " not in said[:20]
+    platform_site.wait_until(lambda: site.router.in_flight == 0)
+    assert [r.body for r in replica.requests] == [] and b" 200 " not in response[:20]
 
 
-def test_requests_that_follow_one_another_on_a_connection_are_answered_in_order(site):
+def test_pipelined_requests_are_answered_in_order(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     rows = [
         b"POST /p/%d HTTP/1.1\r\nHost: %b\r\nTry-Id: row-%d\r\nContent-Length: 3\r\n\r\nab%d" % (n, host.encode(), n, n)
         for n in range(4)
     ]
-    said = say(site, b"".join(rows))
-    assert [said.count(b"Try-Id: row-%d" % n) for n in range(4)] == [1] * 4
-    assert [said.index(b"row-%d" % n) for n in range(4)] == sorted(said.index(b"row-%d" % n) for n in range(4))
-    assert [(r.target, r.body) for r in replica.asked] == [(f"/p/{n}", b"ab%d" % n) for n in range(4)]
+    response = exchange_bytes(site, b"".join(rows))
+    assert [response.count(b"Try-Id: row-%d" % n) for n in range(4)] == [1] * 4
+    assert [response.index(b"row-%d" % n) for n in range(4)] == sorted(response.index(b"row-%d" % n) for n in range(4))
+    assert [(r.target, r.body) for r in replica.requests] == [(f"/p/{n}", b"ab%d" % n) for n in range(4)]
 
 
-def test_a_header_whose_name_has_an_underscore_never_stands_for_one_with_a_dash(site):
+def test_a_header_name_with_an_underscore_does_not_match_one_with_a_dash(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
-    own, answer = site.ask(host, headers=[("Try_Id", "other"), ("Time_Left", "900")], prompt=False)
-    assert answer.status == 200 and [r.get("Try-Id") for r in replica.asked] == [own]
-    assert int(replica.asked[0].get("Time-Left")) > 1000
+    request_id, answer = site.ask(host, headers=[("Try_Id", "other"), ("Time_Left", "900")], prompt=False)
+    assert answer.status == 200 and [r.get("Try-Id") for r in replica.requests] == [request_id]
+    assert int(replica.requests[0].get("Time-Left")) > 1000
 
 
 @pytest.mark.parametrize("name, value", [("Last-Event-Id", "²"), ("Prompt-Prefix", "a:²"), ("Tokens", "²,²")])
-def test_a_number_in_other_digits_is_passed_on_as_it_came(site, name, value):
+def test_a_number_in_non_ascii_digits_is_forwarded_unchanged(site, name, value):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     replica.run = answer_done
     _own, answer = site.ask(host, headers=[(name, value)], prompt=False)
-    assert answer.status == 200 and [request.all(name) for request in replica.asked] == [[value]]
+    assert answer.status == 200 and [request.all(name) for request in replica.requests] == [[value]]
 
 
 def answer_done(conn, request, fault, more):
@@ -148,5 +148,7 @@
 def test_a_head_with_a_carriage_return_or_a_zero_byte_within_a_line_is_refused(site, odd):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     rows = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: odd", odd, b"Content-Length: 0"]
-    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0)  # it ends the connection
-    assert said.startswith(b"HTTP/1.1 400 ") and replica.asked == []
+    response = exchange_bytes(
+        site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0
+    )  # the router closes the connection
+    assert response.startswith(b"HTTP/1.1 400 ") and replica.requests == []
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -49,11 +49,11 @@
     with connect(site) as conn:
         conn.sendall(head(host, b"one", CHUNKED) + b"3\r\nabc\r\n0\r\n" + trailer + b"\r\n")
         assert conn.recv(1) == b"H"
-        platform_site.until(lambda: not site.server.exchanging())  # an idle connection holds no thread
+        platform_site.wait_until(lambda: not site.server.exchanging())  # an idle connection holds no thread
         conn.sendall(head(host, b"two", b"Content-Length: 2", b"Connection: close") + b"de")
         received = read_until_closed(conn)
     assert received.count(b"HTTP/1.1 ") == 1 + (received[:4] == b"HTTP") and received.count(b"TTP/1.1 200") == 2
-    assert [(r.get("Try-Id"), r.body) for r in replica.asked] == [("one", b"abc"), ("two", b"de")]
+    assert [(r.get("Try-Id"), r.body) for r in replica.requests] == [("one", b"abc"), ("two", b"de")]
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
         conn.sendall(head(host, b"bad", CHUNKED) + data + head(host, b"inner", b"Content-Length: 0"))
         received = read_until_closed(conn)
     assert received.startswith(b"HTTP/1.1 400 ") and received.count(b"HTTP/1.1 ") == 1
-    assert b"Connection: close" in received and replica.asked == []
+    assert b"Connection: close" in received and replica.requests == []
 
 
 def test_chunks_unread_after_a_rejection_are_not_read_as_a_request(site):
@@ -91,7 +91,7 @@
             received = read_until_closed(conn)
     finally:
         site.router.stopping = False
-    assert received.startswith(b"HTTP/1.1 503 ") and received.count(b"HTTP/1.1 ") == 1 and replica.asked == []
+    assert received.startswith(b"HTTP/1.1 503 ") and received.count(b"HTTP/1.1 ") == 1 and replica.requests == []
 
 
 @pytest.mark.parametrize("is_chunked", [False, True], ids=["length", "chunks"])
@@ -105,7 +105,7 @@
             conn.sendall(head(host, b"long", b"Content-Length: %d" % size))
         conn.sendall(b"x" * size)
         received = read_until_closed(conn)
-    assert received.startswith(b"HTTP/1.1 413 ") and received.endswith(b"}") and replica.asked == []
+    assert received.startswith(b"HTTP/1.1 413 ") and received.endswith(b"}") and replica.requests == []
 
 
 def test_a_read_returns_no_more_than_asked_however_long_the_chunk_is():
--- a/tests/test_route_document_race.py
+++ b/tests/test_route_document_race.py
@@ -44,7 +44,7 @@
     other_host, new_replicas = site.service("pd")
     old_name, new_name = host.partition(".")[0], other_host.partition(".")[0]
     assert site.ask(host)[1].status == 200  # the route table of this document is now cached
-    served = platform_site.asked(old_replicas)
+    served = platform_site.request_count(old_replicas)
     row = next(row for row in site.lease.said["itineraries"] if row["host"] == host)
 
     def move_route():
@@ -56,4 +56,4 @@
     site.lease.arm(reads, move_route)
     assert site.ask(host)[1].status == 200
     assert site.lease.reads_left == 0
-    assert (platform_site.asked(old_replicas), platform_site.asked(new_replicas)) == (served, 2)
+    assert (platform_site.request_count(old_replicas), platform_site.request_count(new_replicas)) == (served, 2)
--- a/tests/test_service_without_model.py
+++ b/tests/test_service_without_model.py
@@ -121,7 +121,7 @@
         [platform_site.route(f"r-{name}", f"{name}.example", name, **{"kind": "once_only", "tries": 2, **route})],
         [platform_site.depot(name, False)],
     )
-    platform_site.until(lambda: all(r.name in site.router.replicas.rows for r in rows))
+    platform_site.wait_until(lambda: all(r.name in site.router.replicas.rows for r in rows))
     return f"{name}.example", rows
 
 
@@ -130,20 +130,20 @@
     request_id, answer = site.ask(host, prompt=False)
     assert answer.status == 200 and answer.body == b"slip"
     assert len(site.platform.ran(request_id)) == 1
-    assert all(request.get("Leg") == "" for replica in replicas for request in replica.asked)
+    assert all(request.get("Leg") == "" for replica in replicas for request in replica.requests)
 
 
 @pytest.mark.parametrize("fault", [{"close": True}, {"stamp": False}, {"break": 0}, {"own": 500}])
 def test_a_once_only_request_never_runs_twice_at_a_service_without_a_model(site, fault):
     host, replicas = slips(site)
-    platform_site.let(replicas, fault)
+    platform_site.inject_fault_once(replicas, fault)
     request_id, answer = site.ask(host, prompt=False)
-    assert platform_site.asked(replicas) == 1 and answer.status >= 500 and answer.status != 503
+    assert platform_site.request_count(replicas) == 1 and answer.status >= 500 and answer.status != 503
 
 
 def test_a_once_only_request_rejected_with_proof_goes_to_another_replica(site):
     host, replicas = slips(site)
-    platform_site.let(replicas, {"bounce": 503})
+    platform_site.inject_fault_once(replicas, {"bounce": 503})
     request_id, answer = site.ask(host, prompt=False)
     assert answer.status == 200 and len(site.platform.ran(request_id)) == 1
 
@@ -154,7 +154,7 @@
     reader.always = {"close": True}
     request_id, answer = site.ask(host)
     assert answer.status == 200 and len(site.platform.ran(request_id)) == 1
-    assert len(reader.asked) == 1 and writer.asked[-1].get("Cache-From") == ""
+    assert len(reader.requests) == 1 and writer.requests[-1].get("Cache-From") == ""
 
 
 def plain_service(count, cells=None):
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -1,4 +1,4 @@
-"""A polite stop of a real router in the middle of a stream: nothing is dropped."""
+"""SIGTERM to a router in the middle of a stream drops no request."""
 
 import signal
 import threading
@@ -8,7 +8,7 @@
 import tools.callers as callers
 
 
-def test_sigterm_lets_streams_end_and_bounces_the_rest(tmp_path):
+def test_sigterm_lets_streams_end_and_rejects_new_requests(tmp_path):
     with fleets.serving(tmp_path, 2, 2) as fleet:
         environment, router, rows = environment_module.BlockingEnvironment(), fleet.settings["route-1"]["http"], []
         call = {**callers.make(1, 1, ["dispatch"]), "tokens": 150, "stream": True, "kind": "question"}
@@ -20,7 +20,7 @@
         thread.start()
         fleet.wait_http(router, "/condition", lambda c: c["flight"] == 1)
         fleet.signal("route-1", signal.SIGTERM)
-        while True:  # from here on it bounces, or its door is closed
+        while True:  # the router now rejects new requests or has closed its port
             late = callers.send(environment, router, "shift-notes", {**call, "id": "late", "tokens": 1})
             if late["status"] != 200:
                 break
--- a/tests/test_tenant_keys.py
+++ b/tests/test_tenant_keys.py
@@ -24,7 +24,7 @@
 
 
 def all_sends(replicas):
-    return [request for replica in replicas for request in replica.asked]
+    return [request for replica in replicas for request in replica.requests]
 
 
 def test_unasked_key_is_not_forwarded_to_replicas(site):
@@ -85,27 +85,27 @@
     host, (prefill_replica, decode_replica) = site.service("pd", urgency=5)
     site.lease.change(senders=[{**TENANTS[0], "urgency": urgency}, TENANTS[1]])
     site.ask(host, headers=bearer(KEY))
-    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == sent
+    assert [replica.requests[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == sent
 
 
 def test_route_urgency_applies_when_the_tenant_has_none(site):
     host, (prefill_replica, decode_replica) = site.service("pd", urgency=1)
     site.lease.change(senders=[{"name": "kaje80", "permits": [KEY]}])
     site.ask(host, headers=bearer(KEY))
-    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["3", "3"]
+    assert [replica.requests[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["3", "3"]
 
 
 def test_without_tenants_only_the_prefill_rank_is_sent(site):
     site.lease.said.pop("senders")
     host, (prefill_replica, decode_replica) = site.service("pd", urgency=1)
     site.ask(host)
-    assert [replica.asked[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["0", "0"]
+    assert [replica.requests[0].get("Urgency") for replica in (prefill_replica, decode_replica)] == ["0", "0"]
 
 
 def test_client_cannot_raise_its_urgency_above_its_tenants(site):
     host, (prefill_replica, decode_replica) = site.service("pd")
     site.ask(host, headers=[*bearer(KEY), ("Urgency", "0")])
-    assert [replica.asked[0].all("Urgency") for replica in (prefill_replica, decode_replica)] == [["3"], ["3"]]
+    assert [replica.requests[0].all("Urgency") for replica in (prefill_replica, decode_replica)] == [["3"], ["3"]]
 
 
 def test_non_ascii_key_is_matched_by_its_bytes(site):
