--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -15,7 +15,7 @@
 import mothshed.control_plane.permit_duty as permit_duty
 import mothshed.control_plane.reconfiguration as reconfiguration
 import mothshed.control_plane.service_part as service_part
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.counters as counters
@@ -145,7 +145,7 @@
         counters.CountersReport(self.environment, self.totals, self.environment.figures).run()
 
     def front(self, handler_class=operator_api.OperatorApi):
-        return front.Server(self.settings["http"], handler_class(self), constants.OPERATOR_SERVER_THREADS)
+        return http_server.Server(self.settings["http"], handler_class(self), constants.OPERATOR_SERVER_THREADS)
 
     def call_in_mailbox(self, member, callback):
         """Runs callback() in a member's mailbox and returns its result, or None after a timeout."""
--- a/mothshed/control_plane/list_leader_task.py
+++ b/mothshed/control_plane/list_leader_task.py
@@ -9,7 +9,7 @@
 
 import mothshed.constants as constants
 import mothshed.control_plane.leader_hint as leader_hint
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 
 
 class ListLeaderTask:
@@ -41,7 +41,7 @@
             try:
                 rows = self.listed.speech.rows(self.environment, self.listed.list_url)
                 self.environment.post(lambda rows=rows, at=started_at: self.store_list(rows, at))
-            except web.WebFault as e:
+            except http_client.ExchangeError as e:
                 self.listed.journal.add("list", outcome="failed", reason=str(e))
             self.environment.sleep(constants.LIST_POLL_INTERVAL_S)
 
--- a/mothshed/control_plane/operator_api.py
+++ b/mothshed/control_plane/operator_api.py
@@ -27,7 +27,7 @@
 import mothshed.control_plane.confirmed_calls as confirmed_calls
 import mothshed.control_plane.document_delivery as document_delivery
 import mothshed.control_plane.leader_hint as leader_hint
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 
 StartResponse = collections.abc.Callable[..., typing.Any]  # WSGI's start_response
 Environ = dict[str, typing.Any]  # WSGI's environ
@@ -61,21 +61,25 @@
             "/metrics": {"GET": self.get_metrics},
         }
         if path not in table:
-            return front.fault(start_response, 404, f"no such path {path}")
+            return http_server.error_response(start_response, 404, f"no such path {path}")
         if method not in table[path]:
             methods = ", ".join(sorted(table[path]))
-            return front.fault(start_response, 405, f"use {methods}", headers=[("Allow", methods)])
+            return http_server.error_response(start_response, 405, f"use {methods}", headers=[("Allow", methods)])
         try:
             return table[path][method](environ, start_response)
-        except front.BadBody as error:
-            return front.fault(start_response, error.status, error.reason, headers=[("Connection", "close")])
+        except http_server.BodyError as error:
+            return http_server.error_response(
+                start_response, error.status, error.reason, headers=[("Connection", "close")]
+            )
 
     def get_condition(self, environ, start_response):
         condition = self.keeper.condition()
-        return front.respond(start_response, 200 if condition["serving"] else 503, condition)
+        return http_server.respond(start_response, 200 if condition["serving"] else 503, condition)
 
     def get_metrics(self, environ, start_response):
-        return front.respond(start_response, 200, self.keeper.totals.text(self.keeper.environment.figures()).encode())
+        return http_server.respond(
+            start_response, 200, self.keeper.totals.text(self.keeper.environment.figures()).encode()
+        )
 
     def redirect_to_leader(self, environ, start_response):
         """Respond 307 to the leader heard from recently, or 503 if there is none; None if this is the leader."""
@@ -83,19 +87,19 @@
             return None
         leader = self.member.members.get(leader_hint.recent_leader(self.member))
         if not leader:
-            return front.fault(
-                start_response, 503, "the configuration part has no leader now", retry=constants.RETRY_AFTER_S
+            return http_server.error_response(
+                start_response, 503, "the configuration part has no leader now", retry_after_s=constants.RETRY_AFTER_S
             )
         query = environ.get("QUERY_STRING")
         location = f"http://{leader['http']}{environ['PATH_INFO']}" + (f"?{query}" if query else "")
-        return front.respond(start_response, 307, {"leader": leader["http"]}, [("Location", location)])
+        return http_server.respond(start_response, 307, {"leader": leader["http"]}, [("Location", location)])
 
     def confirmed_read(self, environ, start_response, query):
         redirect = self.redirect_to_leader(environ, start_response)
         if redirect:
             return redirect
         try:
-            return front.respond(start_response, 200, self.calls.read(query))
+            return http_server.respond(start_response, 200, self.calls.read(query))
         except confirmed_calls.NotConfirmed:
             return respond_not_confirmed(start_response)
 
@@ -129,9 +133,9 @@
 
     def put_configuration(self, environ, start_response):
         try:
-            body = json.loads(front.body_of(environ))
+            body = json.loads(http_server.read_body(environ))
         except INVALID_JSON_ERRORS as error:
-            return front.fault(start_response, 400, f"body is not JSON: {error}")
+            return http_server.error_response(start_response, 400, f"body is not JSON: {error}")
         errors = request_errors(body, {"document"})
         if isinstance(body, dict):
             errors += [f"document.{error}" for error in configuration.validation_errors(body.get("document"))]
@@ -143,9 +147,9 @@
     def patch_configuration(self, environ: Environ, start_response: StartResponse) -> list[bytes]:
         """Apply a change of named items to the newest document; the resulting whole document is replicated."""
         try:
-            body = json.loads(front.body_of(environ))
+            body = json.loads(http_server.read_body(environ))
         except INVALID_JSON_ERRORS as error:
-            return front.fault(start_response, 400, f"body is not JSON: {error}")
+            return http_server.error_response(start_response, 400, f"body is not JSON: {error}")
         errors = request_errors(body, {"put", "remove"})
         if errors:
             return respond_not_applied(start_response, errors)
@@ -189,12 +193,12 @@
 
 def respond_not_confirmed(start_response: StartResponse) -> list[bytes]:
     message = "no majority confirms this leader now; nothing was written"
-    return front.fault(start_response, 503, message, retry=constants.RETRY_AFTER_S)
+    return http_server.error_response(start_response, 503, message, retry_after_s=constants.RETRY_AFTER_S)
 
 
 def respond_outcome_unknown(start_response: StartResponse, order_id: str) -> list[bytes]:
     message = "not known whether it was accepted: send it again with its id, or read the history"
-    return front.fault(start_response, 504, message, verdict="may_have_run", id=order_id)
+    return http_server.error_response(start_response, 504, message, verdict="may_have_run", id=order_id)
 
 
 def history_row(sequence: int, row: dict[str, typing.Any]) -> dict[str, typing.Any]:
@@ -204,14 +208,16 @@
 
 
 def respond_not_applied(start_response: StartResponse, faults: list[str]) -> list[bytes]:
-    return front.fault(start_response, 400, "nothing was applied", faults=faults)
+    return http_server.error_response(start_response, 400, "nothing was applied", faults=faults)
 
 
 def respond_to_order(start_response: StartResponse, command: Command, result: Result) -> list[bytes]:
     """Respond to an order that was applied, or whose result is already known."""
     if "conflict" in result:
-        return front.fault(start_response, 409, f"base {command['base']} is not the latest", current=result["conflict"])
-    return front.respond(start_response, 200, {"sequence": result["sequence"], "id": command["id"]})
+        return http_server.error_response(
+            start_response, 409, f"base {command['base']} is not the latest", current=result["conflict"]
+        )
+    return http_server.respond(start_response, 200, {"sequence": result["sequence"], "id": command["id"]})
 
 
 def validated_document(document: document_change.Document) -> document_change.Document:
--- a/mothshed/control_plane/orders.py
+++ b/mothshed/control_plane/orders.py
@@ -15,7 +15,7 @@
 import mothshed.control_plane.load_leader_task as load_leader_task
 import mothshed.control_plane.parts as parts
 import mothshed.control_plane.service_part as service_part
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.pools as pools
 import mothshed.replicas.replica_adapter as replica_adapter
@@ -192,7 +192,7 @@
                     sequence,
                     ready,
                 )
-        except web.WebFault:
+        except http_client.ExchangeError:
             pass
         finally:
             self.in_progress.discard(name)
--- a/mothshed/data_plane/delivery.py
+++ b/mothshed/data_plane/delivery.py
@@ -18,7 +18,7 @@
 import mothshed.data_plane.routes as routes
 import mothshed.data_plane.stage_times as stage_times
 import mothshed.http.events as events
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.verdict as verdict
 
 NOT_RUN = verdict.Verdict.NOT_RUN
@@ -59,7 +59,7 @@
             try:
                 return self.attempt()
             except verdict.SendFailure as error:
-                if error.reason == web.NOT_READY:  # no lease or the plan is outdated; nothing was sent
+                if error.reason == http_client.NOT_READY:  # no lease or the plan is outdated; nothing was sent
                     self.release()
                     continue
                 self.record_failure(error)
@@ -162,7 +162,7 @@
             )
         except verdict.SendFailure as error:
             self.raise_if_caller_left()
-            if error.reason != web.NOT_READY:
+            if error.reason != http_client.NOT_READY:
                 self.suspect_replica(error, pair.decode_replica)
             raise
 
@@ -176,11 +176,11 @@
         self.replica_response = None
         try:
             if self.route["kind"] == "stream":
-                remaining_events = events.split(reply.pieces())
+                remaining_events = events.split_events(reply.pieces())
                 first_event, event_id = next(remaining_events, (b"", None))
             else:  # read in full before anything is delivered
                 first_event, event_id, remaining_events = reply.all(), None, iter(())
-        except web.WebFault as error:
+        except http_client.ExchangeError as error:
             self.raise_if_caller_left()
             self.suspect_replica(verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(error)), pair.decode_replica)
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(error), name) from error
@@ -205,7 +205,7 @@
             try:
                 yield from self.forward_events(remaining_events)
                 return
-            except web.WebFault as error:
+            except http_client.ExchangeError as error:
                 self.raise_if_caller_left()
                 failure = verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(error), self.pair.decode_replica.name)
                 self.suspect_replica(failure, self.pair.decode_replica)
@@ -218,7 +218,7 @@
                 timeout_s = self.request.deadline - self.environment.now()
                 if self.repeatable and self.last_event_id is not None and self.decodes_sent < self.route["tries"]:
                     timeout_s = min(timeout_s, constants.NEXT_EVENT_TIMEOUT_S)
-                self.reply.patience(timeout_s)
+                self.reply.set_timeout(timeout_s)
             try:
                 with self.pauses.watch(pauses_module.PauseCause.REPLICA):
                     event, event_id = next(remaining_events)
@@ -241,7 +241,7 @@
                     break
                 return itertools.chain([(first_event, event_id)], remaining_events)
             except verdict.SendFailure as error:
-                if error.reason == web.NOT_READY:
+                if error.reason == http_client.NOT_READY:
                     self.release()
                     continue
                 self.record_failure(error)
--- a/mothshed/data_plane/delivery_sends.py
+++ b/mothshed/data_plane/delivery_sends.py
@@ -9,7 +9,7 @@
 import mothshed.data_plane.identity as identity
 import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.data_plane.routes as routes
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.verdict as verdict
 
 NOT_RUN = verdict.Verdict.NOT_RUN
@@ -27,7 +27,7 @@
                 return False
             if self.environment.now() >= self.request.deadline:  # a slow connect, or this process was suspended
                 return False
-            if self.request.caller.has_left():
+            if self.request.caller.has_disconnected():
                 return False
             self.record_late_work("sent_after_caller_left", role)
             if not (self.prefills_sent or self.decodes_sent):
@@ -44,13 +44,16 @@
 
     def raise_if_caller_left(self) -> None:
         """Raise CallerDisconnected if the caller disconnected: a failure then says nothing about the replica."""
-        if self.request.caller.has_left():
+        if self.request.caller.has_disconnected():
             raise verdict.CallerDisconnected()
 
     def record_late_work(self, kind: str, stage: str) -> None:
         """Count work done more than CLIENT_DISCONNECT_GRACE_S after the caller disconnected."""
-        left_at = self.request.caller.left_at()
-        if left_at is not None and self.environment.now() - left_at > constants.CLIENT_DISCONNECT_GRACE_S:
+        disconnected_at = self.request.caller.disconnected_at()
+        if (
+            disconnected_at is not None
+            and self.environment.now() - disconnected_at > constants.CLIENT_DISCONNECT_GRACE_S
+        ):
             self.router.journal.add(kind, outcome=stage, request=self.request.id)
 
     def is_available(self, replica):
@@ -112,8 +115,8 @@
     def probe_connection(self, replica):
         """Exclude a replica that timed out if it does not accept a connection; otherwise it is only busy."""
         try:
-            self.environment.kept.look(replica.url.removeprefix("http://"))
-        except web.WebFault:
+            self.environment.kept.check_connects(replica.url.removeprefix("http://"))
+        except http_client.ExchangeError:
             self.router.replicas.mark_failed(replica.name)
 
     def prefill(self, pair):
@@ -137,7 +140,7 @@
                 urgency,
             )
         except verdict.SendFailure as error:
-            if error.reason == web.NOT_READY or self.ended:
+            if error.reason == http_client.NOT_READY or self.ended:
                 raise
             self.raise_if_caller_left()
             self.failures.append(error)
@@ -202,5 +205,5 @@
     def read_body(self, reply, name):
         try:
             return reply.all()
-        except web.WebFault as error:
+        except http_client.ExchangeError as error:
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(error), name) from error
--- a/mothshed/data_plane/handle_releases.py
+++ b/mothshed/data_plane/handle_releases.py
@@ -8,7 +8,7 @@
 import collections
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.replica_adapter as replica_adapter
 
 
@@ -45,7 +45,7 @@
         """Send one release; on failure, schedule a retry after the delay, and after twice the delay the next time."""
         try:
             done = self.release_handle(self.environment, handle)
-        except web.WebFault:
+        except http_client.ExchangeError:
             done = False
         self.journal.add("free", outcome="done" if done else "failed")
         if done or self.environment.now() - handle.created_at >= constants.HANDLE_RELEASE_TTL_S:
--- a/mothshed/data_plane/outcomes.py
+++ b/mothshed/data_plane/outcomes.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 import mothshed.constants as constants
-import mothshed.runtime.fading as fading
+import mothshed.runtime.decaying_sums as decaying_sums
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,7 +36,7 @@
     """The outcomes that this router saw, by replica."""
 
     def __init__(self, now: collections.abc.Callable[[], float]) -> None:
-        self.counts = fading.FadingSums(now, constants.OUTCOME_HALF_LIFE_S, kinds=2)
+        self.counts = decaying_sums.DecayingSums(now, constants.OUTCOME_HALF_LIFE_S, kinds=2)
 
     def record_answered(self, name: str) -> None:
         """Count a request that was answered, successfully or by rejecting its content."""
--- a/mothshed/data_plane/permits.py
+++ b/mothshed/data_plane/permits.py
@@ -118,7 +118,7 @@
             left = until - self.environment.now()
             if left <= 0:
                 return
-            if caller is not None and caller.has_left():
+            if caller is not None and caller.has_disconnected():
                 raise verdict.CallerDisconnected()
             waiter.event.wait(min(left, constants.MIN_PERMIT_RETRY_S))
 
--- a/mothshed/data_plane/placement.py
+++ b/mothshed/data_plane/placement.py
@@ -18,7 +18,7 @@
 import mothshed.data_plane.replica_pair as replica_pair
 import mothshed.replicas.pools as pools
 import mothshed.replicas.replica_load as replica_load
-import mothshed.runtime.fading as fading
+import mothshed.runtime.decaying_sums as decaying_sums
 
 Request = typing.Any  # route_front.RoutedRequest
 Document = dict[str, typing.Any]  # a configuration
@@ -38,7 +38,7 @@
         self.remote_loads: dict[int, tuple[float, replica_load.Loads]] = {}
         self.outcomes = outcomes.Outcomes(environment.now)
         # events, and the seconds between them
-        self.event_times = fading.FadingSums(environment.now, constants.OUTCOME_HALF_LIFE_S, kinds=2)
+        self.event_times = decaying_sums.DecayingSums(environment.now, constants.OUTCOME_HALF_LIFE_S, kinds=2)
         self.prefill_rates: dict[str, float] = {}  # replica -> measured tokens/s
 
     def update_remote_loads(self, part: int, loads: replica_load.Loads) -> None:
--- a/mothshed/data_plane/request_sends.py
+++ b/mothshed/data_plane/request_sends.py
@@ -12,7 +12,7 @@
 import mothshed.constants as constants
 import mothshed.data_plane.identity as identity
 import mothshed.data_plane.plan as planning
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.replica_adapter as replica_adapter
 import mothshed.replicas.verdict as verdict
 
@@ -89,7 +89,7 @@
 
     def stop_if_caller_left(self) -> None:
         """Raise CallerDisconnected if the client has disconnected."""
-        if self.request.caller.has_left():
+        if self.request.caller.has_disconnected():
             raise verdict.CallerDisconnected()
 
     def time_left(self):
@@ -161,7 +161,7 @@
                     self.router.backup_releases.cancel(unconfirmed_handle)
                 else:  # the replica may hold a handle that was never returned, or may come to hold one
                     self.router.handle_releases.enqueue(unconfirmed_handle)
-                if e.reason != web.NOT_READY:  # otherwise nothing was sent: tried again under the current lease
+                if e.reason != http_client.NOT_READY:  # otherwise nothing was sent: tried again under the current lease
                     raise
         self.may_have_run = True  # a prefill counts as a run
         self.chart.step("hold")
@@ -206,7 +206,7 @@
                 )
                 return self.pull_first_token(stream)
             except verdict.SendFailure as e:
-                if e.reason == web.NOT_READY:
+                if e.reason == http_client.NOT_READY:
                     continue
                 may_retry = e.verdict is NOT_RUN and not e.handle_lost
                 while may_retry and not self.router.retry_budget.take_or_borrow(int(self.sends_written["decode"] > 0)):
--- a/mothshed/data_plane/route_front.py
+++ b/mothshed/data_plane/route_front.py
@@ -13,7 +13,7 @@
 import mothshed.data_plane.delivery as delivery_module
 import mothshed.data_plane.identity as identity_module
 import mothshed.http.caller as caller_module
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.log_buffer as log_buffer
 
@@ -96,7 +96,7 @@
         """The request; raises Rejection if it can't be delivered, CallerDisconnected if the caller disconnected."""
         headers, router = environ["mothshed.headers"], self.router
         limits = (router.lease.document() or {}).get("limits", {})
-        body = front.body_of(environ, limits.get("body_bytes", constants.MAX_BODY_BYTES))
+        body = http_server.read_body(environ, limits.get("body_bytes", constants.MAX_BODY_BYTES))
         target, host = environ["REQUEST_URI"], headers.get("Host", "")
         sequence, document = router.wait_for_lease(caller)
         if sequence is None or document is None:
@@ -134,18 +134,22 @@
         elapsed_s = self.environment.now() - arrived_at
         request.placement_timeout_s = max(constants.MIN_PLACEMENT_WAIT_S, wait_s - elapsed_s)
         request.caller = caller
-        caller.shut_after(request.deadline + constants.RESPONSE_GRACE_S)
+        caller.close_after(request.deadline + constants.RESPONSE_GRACE_S)
         return request
 
     def error_response(self, start_response, status, reason, retry=0, code="not_run", headers=()):
         headers = [*headers, ("Connection", "close")] if self.router.leaving else list(headers)
-        return front.fault(start_response, status, reason, verdict=code, retry=retry, headers=headers)
+        return http_server.error_response(
+            start_response, status, reason, verdict=code, retry_after_s=retry, headers=headers
+        )
 
     def failure_response(self, start_response, error, request_id):
         add = functools.partial(self.router.journal.add, request=request_id)
-        if isinstance(error, front.BadBody):
+        if isinstance(error, http_server.BodyError):
             add("delivery", outcome="invalid")
-            return front.fault(start_response, error.status, error.reason, headers=[("Connection", "close")])
+            return http_server.error_response(
+                start_response, error.status, error.reason, headers=[("Connection", "close")]
+            )
         if isinstance(error, verdict.Rejection):
             add("delivery", outcome=identity_module.REFUSAL_OUTCOMES.get(error.status, "invalid"), reason=error.reason)
             if error.status == 503:
--- a/mothshed/data_plane/router.py
+++ b/mothshed/data_plane/router.py
@@ -17,7 +17,7 @@
 import mothshed.data_plane.router_front as router_front
 import mothshed.data_plane.routes as routes
 import mothshed.http.caller as caller_module
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.replicas.known_replicas as replicas_module
 import mothshed.replicas.leaders as leaders
 import mothshed.replicas.listed_replicas as listed_replicas
@@ -102,9 +102,9 @@
     def wait_for_lease(self, caller: caller_module.Caller) -> tuple[int | None, dict[str, typing.Any] | None]:
         """Wait briefly for a lease; return its sequence (None without one) and document. Raises CallerDisconnected."""
         deadline = self.environment.now() + constants.DELIVERY_LEASE_TIMEOUT_S
-        while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_left():
+        while self.lease.sequence() is None and self.environment.now() < deadline and not caller.has_disconnected():
             self.environment.sleep(constants.PLACEMENT_INTERVAL_S)
-        if caller.has_left():
+        if caller.has_disconnected():
             raise verdict.CallerDisconnected()
         return self.lease.current()
 
@@ -127,7 +127,7 @@
             self.in_flight > 0
             or self.handle_releases.count_pending() > 0
             or self.server is not None
-            and self.server.exchanging()
+            and self.server.has_active_exchange()
         )
 
     def ready(self):
@@ -139,7 +139,7 @@
         limits = (self.lease.document() or {}).get("limits", {})
         if self.server and limits:
             self.server.max_request_header_size = limits.get("head_bytes", constants.MAX_HEADER_BYTES)
-            self.server.limit_idle(limits.get("idle_s", constants.DEFAULT_IDLE_TIMEOUT_S))
+            self.server.set_idle_limit(limits.get("idle_s", constants.DEFAULT_IDLE_TIMEOUT_S))
 
     def condition(self):
         """Return the state of this router that the condition page shows."""
@@ -165,6 +165,6 @@
     def front(self):
         """Make the HTTP server of this router; it is not yet serving."""
         app = route_front.RouteFront(self) if self.replica_protocol else router_front.CompletionsFront(self)
-        self.server = front.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
+        self.server = http_server.Server(self.settings["http"], app, constants.MAX_SERVER_THREADS)
         self.apply_limits()
         return self.server
--- a/mothshed/data_plane/router_front.py
+++ b/mothshed/data_plane/router_front.py
@@ -14,7 +14,7 @@
 import mothshed.data_plane.request_execution as request_execution
 import mothshed.data_plane.request_parsing as request_parsing
 import mothshed.http.caller as caller_module
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.replicas.verdict as verdict
 import mothshed.runtime.log_buffer as log_buffer
 
@@ -30,32 +30,36 @@
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         if path in request_parsing.PATHS:
             if method != "POST":
-                return front.fault(start, 405, "use POST", headers=[("Allow", "POST")])
+                return http_server.error_response(start, 405, "use POST", headers=[("Allow", "POST")])
             return self.complete(path, environ, start)
         handlers = {"/condition": self.condition, "/metrics": self.metrics}
         if path in handlers:
             if method != "GET":
-                return front.fault(start, 405, "use GET", headers=[("Allow", "GET")])
+                return http_server.error_response(start, 405, "use GET", headers=[("Allow", "GET")])
             return handlers[path](start)
-        return front.fault(start, 404, f"no such path {path}")
+        return http_server.error_response(start, 404, f"no such path {path}")
 
     def condition(self, start):
         """Respond with the router's state; status 503 while it does not serve."""
         condition = self.router.condition()
-        return front.respond(start, 200 if condition["serving"] else 503, condition)
+        return http_server.respond(start, 200 if condition["serving"] else 503, condition)
 
     def metrics(self, start):
         """Respond with the counters in text form."""
-        return front.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
+        return http_server.respond(start, 200, self.router.totals.text(self.router.environment.figures()).encode())
 
     def complete(self, path, environ, start):
         """Execute one completions request and respond with its result or failure."""
         router = self.router
-        headers = front.headers_of(environ)
+        headers = http_server.request_headers(environ)
         headers.setdefault("x-request-id", f"made-{router.environment.random.getrandbits(64):016x}")
         if not router.begin_request():
-            return front.fault(
-                start, 503, "this router is stopping", retry=constants.RETRY_AFTER_S, headers=[("Connection", "close")]
+            return http_server.error_response(
+                start,
+                503,
+                "this router is stopping",
+                retry_after_s=constants.RETRY_AFTER_S,
+                headers=[("Connection", "close")],
             )
         try:
             request = self.parse_request(path, environ, headers, environ.get("mothshed.caller"))
@@ -65,7 +69,7 @@
             router.end_request()
             return self.respond_failure(start, e, headers)
         if request.stream:
-            start(front.line(200), [("Content-Type", "text/event-stream"), ("X-Request-Id", request.id)])
+            start(http_server.status_line(200), [("Content-Type", "text/event-stream"), ("X-Request-Id", request.id)])
             return EventStream(router, request, first, execution)
         try:
             tokens = [first, *execution]
@@ -74,12 +78,12 @@
         finally:
             router.end_request()
         router.journal.add("request", outcome="done", request=request.id)
-        return front.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
+        return http_server.respond(start, 200, make_response(request, tokens), [("X-Request-Id", request.id)])
 
     def parse_request(self, path, environ, headers, caller):
         """Parse the request; its waits and cutoff count from its arrival, not from when a thread was free."""
         router = self.router
-        arrived_at, data = caller.arrived if caller else router.environment.now(), front.body_of(environ)
+        arrived_at, data = caller.arrived if caller else router.environment.now(), http_server.read_body(environ)
         document = router.lease.document()
         if document is None:
             raise verdict.Rejection(503, "no configuration yet", constants.RETRY_AFTER_S, "no_configuration")
@@ -93,7 +97,7 @@
             )
         request = request_parsing.parse(arrived_at, path, headers, data, document, caller_identity)
         if caller:
-            caller.shut_after(request.cutoff + constants.RESPONSE_GRACE_S)
+            caller.close_after(request.cutoff + constants.RESPONSE_GRACE_S)
             request.caller = caller
         return request
 
@@ -103,22 +107,28 @@
         request_id = request_id if request_parsing.REQUEST_ID.match(request_id) else ""
         headers_out = [("X-Request-Id", request_id)] if request_id else []
         add_entry = functools.partial(self.router.journal.add, request=request_id)
-        if isinstance(error, front.BadBody):
+        if isinstance(error, http_server.BodyError):
             add_entry("request", outcome="invalid")
-            return front.fault(start, error.status, error.reason, headers=headers_out + [("Connection", "close")])
+            return http_server.error_response(
+                start, error.status, error.reason, headers=headers_out + [("Connection", "close")]
+            )
         if isinstance(error, verdict.Rejection):
             add_entry("request", outcome=identity.REFUSAL_OUTCOMES.get(error.status, "invalid"))
             if error.status == 503:
                 add_entry("bounce", outcome="no_lease" if self.router.lease.sequence() is None else error.cause)
             headers_out += identity.challenge_headers(error.status)
-            return front.fault(start, error.status, error.reason, retry=error.retry_after_s, headers=headers_out)
+            return http_server.error_response(
+                start, error.status, error.reason, retry_after_s=error.retry_after_s, headers=headers_out
+            )
         if isinstance(error, verdict.CallerDisconnected):
             add_entry("request", outcome="left")
-            return front.fault(start, 502, "the user agent hung up", verdict="may_have_run", headers=headers_out)
+            return http_server.error_response(
+                start, 502, "the user agent hung up", verdict="may_have_run", headers=headers_out
+            )
         if isinstance(error, verdict.RequestFailure):
             add_entry("request", outcome="failed")
             timed_out = any(f.reason == "cutoff passed" or "Timeout" in f.reason for f in error.exceptions)
-            return front.fault(
+            return http_server.error_response(
                 start,
                 504 if timed_out else 502,
                 "; ".join(str(f) for f in error.exceptions),
@@ -129,7 +139,7 @@
             raise error
         log_buffer.failure("request_crashed", error)
         add_entry("request", outcome="crashed")
-        return front.fault(start, 500, "internal fault", verdict="may_have_run", headers=headers_out)
+        return http_server.error_response(start, 500, "internal fault", verdict="may_have_run", headers=headers_out)
 
 
 def make_chunk(request, text, finish_reason, created):
--- a/mothshed/http/chunked.py
+++ b/mothshed/http/chunked.py
@@ -10,10 +10,10 @@
 
 import mothshed.constants as constants
 
-SIZE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n]*)?\r\n")
+SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,15})[ \t]*(?:;[^\r\n]*)?\r\n")
 
 
-class BadChunk(ValueError):
+class ChunkError(ValueError):
     """The body does not follow the chunked framing, or ends within it."""
 
 
@@ -22,49 +22,49 @@
 
     def __init__(self, file):
         self.file = file
-        self.left = 0  # bytes of the present chunk not yet read
-        self.whole = False
+        self.remaining_bytes = 0  # bytes of the present chunk not yet read
+        self.complete = False
 
     def read(self, size):
-        """At most size bytes, fewer only at the body's end. Raises BadChunk."""
-        rows, missing = [], size
+        """At most size bytes, fewer only at the body's end. Raises ChunkError."""
+        parts, missing = [], size
         while missing and (data := self.read1(missing)):
-            rows.append(data)
+            parts.append(data)
             missing -= len(data)
-        return b"".join(rows)
+        return b"".join(parts)
 
     def read1(self, size: int) -> bytes:
-        """At most size bytes as soon as there are any; none only at the body's end. Raises BadChunk."""
-        if not self.left and not self.next_chunk():
+        """At most size bytes as soon as there are any; none only at the body's end. Raises ChunkError."""
+        if not self.remaining_bytes and not self.next_chunk():
             return b""
-        data = self.file.read1(min(self.left, size))
+        data = self.file.read1(min(self.remaining_bytes, size))
         if not data:
-            raise BadChunk("the body ends within a chunk")
-        self.left -= len(data)
-        if not self.left and self.file.read(2) != b"\r\n":
-            raise BadChunk("a chunk is longer than its size")
+            raise ChunkError("the body ends within a chunk")
+        self.remaining_bytes -= len(data)
+        if not self.remaining_bytes and self.file.read(2) != b"\r\n":
+            raise ChunkError("a chunk is longer than its size")
         return data
 
     def next_chunk(self):
         """Reads a size line; False at the last chunk, whose trailer is then read."""
-        if self.whole:
+        if self.complete:
             return False
-        found = SIZE.fullmatch(self.file.readline(constants.MAX_CHUNK_LINE_BYTES))
-        if not found:
-            raise BadChunk("the size of a chunk is not clear")
-        self.left = int(found.group(1), 16)
-        if not self.left:
+        match = SIZE_LINE.fullmatch(self.file.readline(constants.MAX_CHUNK_LINE_BYTES))
+        if not match:
+            raise ChunkError("the size of a chunk is not clear")
+        self.remaining_bytes = int(match.group(1), 16)
+        if not self.remaining_bytes:
             self.read_trailer()
-        return bool(self.left)
+        return bool(self.remaining_bytes)
 
     def read_trailer(self):
-        most = constants.MAX_HEADER_BYTES
-        while most > 0:
-            line = self.file.readline(most)
+        remaining = constants.MAX_HEADER_BYTES
+        while remaining > 0:
+            line = self.file.readline(remaining)
             if not line.endswith(b"\r\n"):
-                raise BadChunk("the trailer is not whole")
+                raise ChunkError("the trailer is not whole")
             if line == b"\r\n":
-                self.whole = True
+                self.complete = True
                 return
-            most -= len(line)
-        raise BadChunk("the trailer is too long")
+            remaining -= len(line)
+        raise ChunkError("the trailer is too long")
--- a/mothshed/http/kept.py
+++ b/mothshed/http/connection_pool.py
@@ -20,14 +20,14 @@
 import urllib3.exceptions
 
 import mothshed.constants as constants
+import mothshed.http.http_client as http_client
 import mothshed.http.reply as reply_module
-import mothshed.http.web as web
 import mothshed.runtime.cancellation as cancellation_module
 
-TIME = re.compile(r"timeout\s*=\s*(\d+)")
+KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
 
 
-def tune(sock):
+def set_socket_options(sock):
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(constants.DELIVERY_ACK_TIMEOUT_S * 1000))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -36,13 +36,13 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 1)
 
 
-def quiet(conn):
+def is_idle(conn):
     """Whether an idle connection has neither ended nor said anything."""
     if conn.sock is None:
         return False
-    look = select.poll()
-    look.register(conn.sock, select.POLLIN)
-    return not look.poll(0)
+    poller = select.poll()
+    poller.register(conn.sock, select.POLLIN)
+    return not poller.poll(0)
 
 
 class Connection(urllib3.connection.HTTPConnection):
@@ -51,58 +51,63 @@
     response_class = reply_module.Response
 
 
-Row = tuple[Connection, float, float]  # (connection, since when it rests, until when it may be used)
+Entry = tuple[Connection, float, float]  # (connection, idle since, usable until)
 
 
-class Kept:
+class ConnectionPool:
     """Idle connections by address, and the exchanges on them."""
 
     def __init__(self, now):
         self.now = now
-        self.idle = {}  # "ip:port" -> [(connection, since when, until when)], the last used last
+        self.idle = {}  # "ip:port" -> [Entry], the last used last
         self.lock = threading.Lock()
         self.swept_at = now()
-        self.made = self.reused = 0
+        self.opened_count = self.reused_count = 0
 
-    def take(self, address, wary, name=None):
-        """An idle connection that still stands, or None. wary: only one used lately; name: none that carried it."""
+    def acquire(self, address, recent_only, name=None):
+        """Take an idle connection that is still open, or None. name: not one that has carried it."""
         while True:
             with self.lock:
-                rows = self.idle.get(address, [])
-                row = next((r for r in reversed(rows) if name is None or name not in r[0].names), None)
-                if row is None:
+                entries = self.idle.get(address, [])
+                entry = next(
+                    (candidate for candidate in reversed(entries) if name is None or name not in candidate[0].names),
+                    None,
+                )
+                if entry is None:
                     return None
-                rows.remove(row)
-            conn, since, until = row
+                entries.remove(entry)
+            conn, idle_since, expires_at = entry
             now = self.now()
-            if now < (since + (until - since) / 2 if wary else until) and quiet(conn):
-                self.reused += 1
+            if now < (idle_since + (expires_at - idle_since) / 2 if recent_only else expires_at) and is_idle(conn):
+                self.reused_count += 1
                 return conn
             conn.close()
 
-    def give(self, address, conn, headers):
-        told = TIME.search(headers.get("keep-alive", "").lower())
-        span = int(told.group(1)) - constants.KEEP_ALIVE_MARGIN_S if told else constants.DEFAULT_KEEP_ALIVE_S
-        if "close" in headers.get("connection", "").lower() or span <= 0:
+    def give_back(self, address, conn, headers):
+        keep_alive = KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", "").lower())
+        keep_s = (
+            int(keep_alive.group(1)) - constants.KEEP_ALIVE_MARGIN_S if keep_alive else constants.DEFAULT_KEEP_ALIVE_S
+        )
+        if "close" in headers.get("connection", "").lower() or keep_s <= 0:
             conn.close()
             return
         now = self.now()
         with self.lock:
-            rows = self.idle.setdefault(address, [])
-            rows.append((conn, now, now + span))
-            gone = [rows.pop(0)] if len(rows) > constants.MAX_IDLE_REPLICA_CONNECTIONS else []
+            entries = self.idle.setdefault(address, [])
+            entries.append((conn, now, now + keep_s))
+            closing = [entries.pop(0)] if len(entries) > constants.MAX_IDLE_REPLICA_CONNECTIONS else []
             if now - self.swept_at > constants.IDLE_SWEEP_INTERVAL_S:
                 self.swept_at = now
-                gone += self.expired(now)
-        for row in gone:
-            row[0].close()
+                closing += self.expired(now)
+        for entry in closing:
+            entry[0].close()
 
-    def expired(self, now: float) -> list[Row]:
+    def expired(self, now: float) -> list[Entry]:
         """Take out what rested past its time, to any address; under the lock."""
-        gone = [row for rows in self.idle.values() for row in rows if row[2] < now]
-        left = {address: [row for row in rows if row[2] >= now] for address, rows in self.idle.items()}
-        self.idle = {address: rows for address, rows in left.items() if rows}
-        return gone
+        closing = [entry for entries in self.idle.values() for entry in entries if entry[2] < now]
+        remaining = {address: [entry for entry in entries if entry[2] >= now] for address, entries in self.idle.items()}
+        self.idle = {address: entries for address, entries in remaining.items() if entries}
+        return closing
 
     def connect(self, address):
         host, port = address.rsplit(":", 1)
@@ -110,16 +115,16 @@
         conn.names = collections.deque(maxlen=constants.MAX_CONNECTION_REQUESTS)
         try:
             conn.connect()
-            tune(conn.sock)
-        except web.FAULTS as e:
+            set_socket_options(conn.sock)
+        except http_client.TRANSPORT_ERRORS as error:
             conn.close()
-            raise web.WebFault(type(e).__name__, False) from e
-        self.made += 1
+            raise http_client.ExchangeError(type(error).__name__, False) from error
+        self.opened_count += 1
         return conn
 
-    def look(self, address):
-        """Raises WebFault if the replica takes no connection; one that it takes is kept."""
-        self.give(address, self.connect(address), {})
+    def check_connects(self, address):
+        """Raises ExchangeError if the replica takes no connection; one that it takes is kept."""
+        self.give_back(address, self.connect(address), {})
 
     def exchange(
         self,
@@ -128,24 +133,24 @@
         target,
         headers,
         body,
-        read,
+        read_timeout_s,
         ready=lambda: True,
-        wary=False,
+        recent_only=False,
         name=None,
         cancellation=None,
     ):
-        """One send; returns its Reply once the head has come. Raises WebFault.
+        """One send; returns its Reply once the head has come. Raises ExchangeError.
 
-        read: s until then. name: of the request, the same for each of its sends. cancellation:
+        read_timeout_s: s until then. name: of the request, the same for each of its sends. cancellation:
         what ends the exchange early, from the write until its Reply is whole or closed.
         """
         cancellation = cancellation or cancellation_module.Cancellation()
-        conn = self.take(address, wary, name) or self.connect(address)
+        conn = self.acquire(address, recent_only, name) or self.connect(address)
         if not ready():
-            self.give(address, conn, {})
-            raise web.WebFault(web.NOT_READY, False)
+            self.give_back(address, conn, {})
+            raise http_client.ExchangeError(http_client.NOT_READY, False)
         conn.names.append(name)
-        conn.timeout = max(read, 0.01)
+        conn.timeout = max(read_timeout_s, 0.01)
         conn.sock.settimeout(conn.timeout)
         try:
             sock = conn.sock  # a response that ends with its connection takes it off conn
@@ -154,11 +159,11 @@
             raw = conn.getresponse()
             reply_module.check_framing(raw)
             return reply_module.Reply(self, address, conn, sock, raw, cancellation)
-        except web.WebFault:
+        except http_client.ExchangeError:
             cancellation.release()
             conn.close()
             raise
-        except web.FAULTS as e:
+        except http_client.TRANSPORT_ERRORS as error:
             cancellation.release()
             conn.close()
-            raise web.WebFault(f"{type(e).__name__}: {e}", True) from e
+            raise http_client.ExchangeError(f"{type(error).__name__}: {error}", True) from error
--- a/mothshed/http/headers.py
+++ b/mothshed/http/headers.py
@@ -14,12 +14,12 @@
 import mothshed.http.chunked as chunked
 import mothshed.runtime.clock as clock
 
-ONCE = {b"Content-Length", b"Transfer-Encoding", b"Host"}
+SINGLE_FIELDS = {b"Content-Length", b"Transfer-Encoding", b"Host"}
 LINE_END = b"\r\n"
-NEVER_IN_A_LINE = (b"\r", b"\0")  # some readers take them for the end of a line or of the head
+FORBIDDEN_IN_LINE = (b"\r", b"\0")  # some readers take them for the end of a line or of the head
 
 
-class Lines:
+class HeaderLines:
     """A head's lines, each looked at before it is parsed."""
 
     def __init__(self, file):
@@ -30,38 +30,38 @@
         name = line.partition(b":")[0]
         if line.strip() and (line[:1] in b" \t" or name != name.strip()):
             raise ValueError("Folded line or space before a colon.")
-        if any(byte in line.removesuffix(LINE_END) for byte in NEVER_IN_A_LINE):
+        if any(byte in line.removesuffix(LINE_END) for byte in FORBIDDEN_IN_LINE):
             raise ValueError("A carriage return or a zero byte within a line.")
         return line
 
 
-class Fields(dict):
+class HeaderFields(dict):
     """Fields by name; one that comes twice is joined, or refused where only one may be."""
 
     def __setitem__(self, name, value):
-        old = self.get(name)
-        if old is not None and name in ONCE:
+        earlier = self.get(name)
+        if earlier is not None and name in SINGLE_FIELDS:
             raise ValueError("A field came twice that may come once.")
-        if old is not None and not value.startswith(old + b", "):  # else joined already
-            value = old + b", " + value
+        if earlier is not None and not value.startswith(earlier + b", "):  # else joined already
+            value = earlier + b", " + value
         super().__setitem__(name, value)
 
 
-class Reader(cheroot.server.HeaderReader):
+class StrictHeaderReader(cheroot.server.HeaderReader):
     def __call__(self, rfile, hdict=None):
-        found = super().__call__(Lines(rfile), Fields())
-        length, coding = found.get(b"Content-Length"), found.get(b"Transfer-Encoding")
+        fields = super().__call__(HeaderLines(rfile), HeaderFields())
+        length, coding = fields.get(b"Content-Length"), fields.get(b"Transfer-Encoding")
         if length is not None and (coding is not None or not length.isdigit()):
             raise ValueError("Length is not clear.")
         if coding is not None and coding.lower() != b"chunked":
             raise ValueError("Encoding is not known.")
         hdict = {} if hdict is None else hdict
-        hdict.update(found)
+        hdict.update(fields)
         return hdict
 
 
 class Request(cheroot.server.HTTPRequest):
-    header_reader = Reader()
+    header_reader = StrictHeaderReader()
 
     def respond(self):
         """As the library does, but with a strict reader of chunked bodies."""
@@ -77,32 +77,32 @@
 
     def send_headers(self):
         """A connection whose chunked body was not read to its end carries no further request."""
-        if self.chunked_read and not self.rfile.whole:
+        if self.chunked_read and not self.rfile.complete:
             self.close_connection = True
         super().send_headers()
-        self.conn.unread = self.close_connection
+        self.conn.discard_on_close = self.close_connection
 
     def simple_response(self, status, msg=""):
-        self.conn.unread = True
+        self.conn.discard_on_close = True
         super().simple_response(status, msg)
 
 
 class Connection(cheroot.server.HTTPConnection):
     RequestHandlerClass = Request
-    unread = False  # the caller may have sent more than was read
+    discard_on_close = False  # the caller may have sent more than was read
 
     def close(self):
-        if self.unread:
+        if self.discard_on_close:
             self.discard_input()
         super().close()
 
     def discard_input(self):
         """Reads away what still comes: closing over unread bytes resets the connection and loses the answer."""
-        until = clock.now() + constants.LINGER_TIMEOUT_S
+        deadline = clock.now() + constants.LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
-            while (left := until - clock.now()) > 0:
-                self.socket.settimeout(left)
+            while (remaining_s := deadline - clock.now()) > 0:
+                self.socket.settimeout(remaining_s)
                 if not self.socket.recv(constants.SOCKET_READ_BYTES):
                     return
         except OSError:
--- a/mothshed/http/web.py
+++ b/mothshed/http/http_client.py
@@ -19,7 +19,7 @@
 NOT_READY = "not ready to send any more"
 
 
-class WebFault(Exception):
+class ExchangeError(Exception):
     """A call without a whole answer; `sent` is False only when proven."""
 
     def __init__(self, reason, sent):
@@ -27,16 +27,16 @@
         self.sent = sent
 
 
-NOT_SENT = (
+NOT_SENT_ERRORS = (
     urllib3.exceptions.NewConnectionError,
     urllib3.exceptions.ConnectTimeoutError,
     urllib3.exceptions.LocationValueError,
     urllib3.exceptions.NameResolutionError,
 )
-FAULTS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
+TRANSPORT_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError, ValueError)
 
 
-def packed(body, headers):
+def encode_json(body, headers):
     """A JSON body and its headers as they are sent."""
     data = None if body is None else json.dumps(body).encode()
     return data, {"content-type": "application/json", **headers}
@@ -51,23 +51,23 @@
     def body(self):
         try:
             return json.loads(self.raw.read())
-        except FAULTS as e:
-            raise WebFault(f"body: {e}", True) from e
+        except TRANSPORT_ERRORS as error:
+            raise ExchangeError(f"body: {error}", True) from error
         finally:
             self.close()
 
     def lines(self):
-        """Whole lines as they come; a cut stream is a WebFault."""
-        rest = b""
+        """Whole lines as they come; a cut stream is a ExchangeError."""
+        remainder = b""
         try:
             for piece in self.raw.stream(None if self.raw.chunked else 1024):
-                rest += piece
-                *whole, rest = rest.split(b"\n")
-                yield from whole
-            if rest:
-                raise WebFault("stream ends within a line", True)
-        except FAULTS as e:
-            raise WebFault(f"stream: {type(e).__name__}: {e}", True) from e
+                remainder += piece
+                *lines, remainder = remainder.split(b"\n")
+                yield from lines
+            if remainder:
+                raise ExchangeError("stream ends within a line", True)
+        except TRANSPORT_ERRORS as error:
+            raise ExchangeError(f"stream: {type(error).__name__}: {error}", True) from error
         finally:
             self.close()
 
@@ -79,9 +79,9 @@
             self.conn.close()
 
 
-class Web:
+class HttpClient:
     def __init__(self):
-        self.kept = urllib3.PoolManager(num_pools=constants.MAX_CONNECTION_POOLS, maxsize=4, retries=False)
+        self.pools = urllib3.PoolManager(num_pools=constants.MAX_CONNECTION_POOLS, maxsize=4, retries=False)
 
     def send(
         self,
@@ -99,32 +99,32 @@
         cancellation: what ends it early, from the write until the response is closed.
         """
         cancellation = cancellation or cancellation_module.Cancellation()
-        data, headers = packed(body, {"connection": "close", **(headers or {})})
-        goal = urllib3.util.parse_url(url)
-        conn = urllib3.connection.HTTPConnection(goal.host, goal.port or 80, timeout=connect)
+        data, headers = encode_json(body, {"connection": "close", **(headers or {})})
+        parsed_url = urllib3.util.parse_url(url)
+        conn = urllib3.connection.HTTPConnection(parsed_url.host, parsed_url.port or 80, timeout=connect)
         try:
             conn.connect()
-        except FAULTS as e:
-            raise WebFault(type(e).__name__, False) from e
+        except TRANSPORT_ERRORS as error:
+            raise ExchangeError(type(error).__name__, False) from error
         if not ready():
             conn.close()
-            raise WebFault(NOT_READY, False)
+            raise ExchangeError(NOT_READY, False)
         conn.timeout = max(read, 0.01)
         conn.sock.settimeout(conn.timeout)
         cancellation.hold(conn.sock)
         try:
-            conn.request(method, goal.request_uri, body=data, headers=headers, preload_content=False)
+            conn.request(method, parsed_url.request_uri, body=data, headers=headers, preload_content=False)
             return Response(conn.getresponse(), conn, cancellation)
-        except FAULTS as e:
+        except TRANSPORT_ERRORS as error:
             cancellation.release()
             conn.close()
-            raise WebFault(f"{type(e).__name__}: {e}", True) from e
+            raise ExchangeError(f"{type(error).__name__}: {error}", True) from error
 
     def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIMEOUT_S):
         """A small exchange on a kept connection: (status, JSON body)."""
-        data, headers = packed(body, headers or {})
+        data, headers = encode_json(body, headers or {})
         try:
-            raw = self.kept.request(
+            raw = self.pools.request(
                 method,
                 url,
                 body=data,
@@ -133,9 +133,9 @@
                 redirect=False,
                 timeout=urllib3.Timeout(connect=constants.CONNECT_TIMEOUT_S, read=max(read, 0.01)),
             )
-        except NOT_SENT as e:
-            raise WebFault(f"{type(e).__name__}", False) from e
-        except FAULTS as e:
-            raise WebFault(f"{type(e).__name__}: {e}", True) from e
+        except NOT_SENT_ERRORS as error:
+            raise ExchangeError(f"{type(error).__name__}", False) from error
+        except TRANSPORT_ERRORS as error:
+            raise ExchangeError(f"{type(error).__name__}: {error}", True) from error
         response = Response(raw)
         return response.status, response.body()
--- a/mothshed/http/front.py
+++ b/mothshed/http/http_server.py
@@ -50,7 +50,7 @@
 HeaderRows = collections.abc.Iterable[tuple[str, str]]
 
 
-def line(status: int) -> str:
+def status_line(status: int) -> str:
     """The status as WSGI wants it: number and reason."""
     return f"{status} {STATUS[status]}"
 
@@ -58,67 +58,67 @@
 def respond(start: StartResponse, status: int, body: typing.Any, headers: HeaderRows = ()) -> list[bytes]:
     """A whole response: bytes as text, anything else as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    kind = "text/plain" if isinstance(body, bytes) else "application/json"
-    start(line(status), [("Content-Type", kind), ("Content-Length", str(len(data))), *headers])
+    content_type = "text/plain" if isinstance(body, bytes) else "application/json"
+    start(status_line(status), [("Content-Type", content_type), ("Content-Length", str(len(data))), *headers])
     return [data]
 
 
-def fault(
+def error_response(
     start: StartResponse,
     status: int,
     reason: str,
     verdict: str = "not_run",
-    retry: float = 0,
+    retry_after_s: float = 0,
     headers: HeaderRows = (),
-    **more: typing.Any,
+    **fields: typing.Any,
 ) -> list[bytes]:
-    """A failure as JSON. retry: seconds after which to come back, told in Retry-After if it is not 0."""
-    headers = list(headers) + ([("Retry-After", str(retry))] if retry else [])
-    error = {"message": reason, "verdict": verdict, **more}
+    """A failure as JSON. retry_after_s: seconds after which to come back, told in Retry-After if it is not 0."""
+    headers = list(headers) + ([("Retry-After", str(retry_after_s))] if retry_after_s else [])
+    error = {"message": reason, "verdict": verdict, **fields}
     return respond(start, status, {"error": error}, headers)
 
 
-def headers_of(environ: Environ) -> dict[str, str]:
+def request_headers(environ: Environ) -> dict[str, str]:
     """The request's headers by lower-case name."""
     return {k[5:].replace("_", "-").lower(): v for k, v in environ.items() if k.startswith("HTTP_")}
 
 
-class BadBody(Exception):
+class BodyError(Exception):
     """A request body that is not taken; the connection ends with the answer."""
 
     status, reason = 400, "the body is shorter than its length says"
 
 
-class BadFraming(BadBody):
+class FramingError(BodyError):
     """A chunked body that does not follow its framing."""
 
     reason = "the body's chunks are malformed"
 
 
-class TooLarge(BadBody):
+class BodyTooLargeError(BodyError):
     """A request body over the limit."""
 
     status, reason = 413, "the body is too long"
 
 
-def body_of(environ: Environ, most: int = constants.MAX_BODY_BYTES) -> bytes:
-    """The whole body, at most so many bytes; raises BadBody."""
+def read_body(environ: Environ, limit: int = constants.MAX_BODY_BYTES) -> bytes:
+    """The whole body, at most so many bytes; raises BodyError."""
     size = environ.get("CONTENT_LENGTH")
     if size:
-        if int(size) > most:
-            raise TooLarge()
+        if int(size) > limit:
+            raise BodyTooLargeError()
         data = environ["wsgi.input"].read(int(size))
         if len(data) < int(size):
-            raise BadBody()
+            raise BodyError()
         return data
     if environ.get("HTTP_TRANSFER_ENCODING", "").lower() != "chunked":
         return b""
     try:
-        data = environ["wsgi.input"].read(most + 1)
-    except chunked.BadChunk as e:
-        raise BadFraming() from e
-    if len(data) > most:
-        raise TooLarge()
+        data = environ["wsgi.input"].read(limit + 1)
+    except chunked.ChunkError as error:
+        raise FramingError() from error
+    if len(data) > limit:
+        raise BodyTooLargeError()
     return data
 
 
@@ -155,9 +155,9 @@
         self.gateway, self.ConnectionClass = Gateway, headers.Connection
         self.max_request_header_size = constants.MAX_HEADER_BYTES
         self.keep_alive_conn_limit = constants.MAX_IDLE_CLIENT_CONNECTIONS
-        self.watched = set()
+        self.active_connections = set()
         self.many_idle_since = clock.now()
-        threading.Thread(target=self.watch, name="lines", daemon=True).start()
+        threading.Thread(target=self.monitor_connections, name="lines", daemon=True).start()
 
     def prepare(self) -> None:
         """Listen; idle connections are kept by our own limits from then on."""
@@ -165,43 +165,43 @@
         self._connections._selector.close()
         self._connections = idle.IdleConnections(self)
 
-    def limit_idle(self, seconds: float) -> None:
+    def set_idle_limit(self, seconds: float) -> None:
         """How long an idle connection may rest from now on; a longer limit before it runs out first."""
         self.idle_limit.change(seconds, clock.now())
 
-    def exchanging(self) -> bool:
+    def has_active_exchange(self) -> bool:
         """Whether a request is arriving, being served, or its answer not wholly written."""
-        return any(conn.socket.fileno() >= 0 for conn in list(self.watched))
+        return any(conn.socket.fileno() >= 0 for conn in list(self.active_connections))
 
     def process_conn(self, conn: typing.Any) -> None:
         """Give a connection that says something to a thread; one just accepted waits until it does."""
         if not hasattr(conn, "arrived"):  # just accepted
-            conn.arrived = conn.due = conn.left_at = conn.caller = None
+            conn.arrived = conn.deadline = conn.disconnected_at = conn.caller = None
             self.put_conn(conn)
             return
         conn.arrived = clock.now()
-        conn.due, conn.reading = conn.arrived + constants.REQUEST_READ_TIMEOUT_S, True
-        self.watched.add(conn)
+        conn.deadline, conn.reading = conn.arrived + constants.REQUEST_READ_TIMEOUT_S, True
+        self.active_connections.add(conn)
         super().process_conn(conn)
 
     def put_conn(self, conn: typing.Any) -> None:
         """Take a connection back whose exchange is over: it rests until its caller says something more."""
-        conn.due = None
-        self.watched.discard(conn)
+        conn.deadline = None
+        self.active_connections.discard(conn)
         super().put_conn(conn)
 
-    def watch(self) -> None:
+    def monitor_connections(self) -> None:
         """Look over the connections in use while the process lives; what fails once is noted and tried again."""
         while True:
             time.sleep(constants.CONNECTION_CHECK_INTERVAL_S)
             try:
-                self.fit_threads(clock.now())
-                self.look_for_those_who_left(clock.now())
-                self.shut_overdue(clock.now())
+                self.adjust_thread_count(clock.now())
+                self.cancel_disconnected(clock.now())
+                self.close_overdue_connections(clock.now())
             except Exception as error:
                 log_buffer.failure("watch_failed", error)
 
-    def fit_threads(self, now: float) -> None:
+    def adjust_thread_count(self, now: float) -> None:
         """Start some threads while few are idle, and end some once many were idle for long.
 
         The library keeps to the fewest and the most there may be.
@@ -217,28 +217,32 @@
             self.requests.shrink(constants.SERVER_STEP_THREADS)
             self.many_idle_since = now
 
-    def shut_overdue(self, now: float) -> None:
+    def close_overdue_connections(self, now: float) -> None:
         """Shut connections whose request does not come, or whose answer is not taken, in time."""
-        crowded = not self.requests.idle
-        for conn in list(self.watched):
-            due = conn.arrived + constants.CROWDED_REQUEST_READ_TIMEOUT_S if crowded and conn.reading else conn.due
+        no_idle_thread = not self.requests.idle
+        for conn in list(self.active_connections):
+            deadline = (
+                conn.arrived + constants.CROWDED_REQUEST_READ_TIMEOUT_S
+                if no_idle_thread and conn.reading
+                else conn.deadline
+            )
             if conn.socket.fileno() < 0:
-                self.watched.discard(conn)
-            elif due is not None and now > due:
-                self.watched.discard(conn)
+                self.active_connections.discard(conn)
+            elif deadline is not None and now > deadline:
+                self.active_connections.discard(conn)
                 cancellation.shut_down(conn.socket)
 
-    def look_for_those_who_left(self, now: float) -> None:
+    def cancel_disconnected(self, now: float) -> None:
         """Cancel what is under way for callers that have hung up; one look at all connections."""
-        look, by_descriptor = select.poll(), {}
-        for conn in list(self.watched):
+        poller, by_descriptor = select.poll(), {}
+        for conn in list(self.active_connections):
             descriptor = conn.socket.fileno()
-            if descriptor >= 0 and conn.left_at is None:
-                look.register(descriptor, caller.ENDED)
+            if descriptor >= 0 and conn.disconnected_at is None:
+                poller.register(descriptor, caller.CLOSED_EVENTS)
                 by_descriptor[descriptor] = conn
-        for descriptor, _events in look.poll(0) if by_descriptor else ():
+        for descriptor, _events in poller.poll(0) if by_descriptor else ():
             conn = by_descriptor[descriptor]
-            conn.left_at = now
+            conn.disconnected_at = now
             if conn.caller:
                 conn.caller.cancellation.cancel()
 
--- a/mothshed/http/idle.py
+++ b/mothshed/http/idle.py
@@ -27,15 +27,15 @@
             self.current = seconds
 
     def longest(self, now):
-        self.former = [row for row in self.former if row[1] > now]
-        return max([self.current, *(seconds for seconds, until in self.former)])
+        self.former = [entry for entry in self.former if entry[1] > now]
+        return max([self.current, *(seconds for seconds, end in self.former)])
 
 
 def has_input(sock):
     """Whether a socket has bytes, an end or a fault to read."""
-    look = select.poll()
-    look.register(sock, select.POLLIN)
-    return bool(look.poll(0))
+    poller = select.poll()
+    poller.register(sock, select.POLLIN)
+    return bool(poller.poll(0))
 
 
 class IdleConnections(cheroot.connections.ConnectionManager):
@@ -48,9 +48,9 @@
     def _expire(self, threshold):
         """Closes what rested for the whole limit and a margin; the library's threshold is not used."""
         now = clock.now()
-        oldest = now - self.server.idle_limit.longest(now) - constants.IDLE_CLOSE_MARGIN_S
+        oldest_kept = now - self.server.idle_limit.longest(now) - constants.IDLE_CLOSE_MARGIN_S
         for descriptor, conn in list(self._selector.connections):
-            if conn is self.server or conn.idle_since > oldest or has_input(conn.socket):
+            if conn is self.server or conn.idle_since > oldest_kept or has_input(conn.socket):
                 continue
             self._selector.unregister(descriptor)
             conn.close()
--- a/mothshed/http/reply.py
+++ b/mothshed/http/reply.py
@@ -1,6 +1,6 @@
 """A replica's response: a head that says where its body ends, and a body read as it comes.
 
-What is cut off, framed in two ways or longer than it says never looks whole: it raises WebFault.
+What is cut off, framed in two ways or longer than it says never looks whole: it raises ExchangeError.
 """
 
 import collections.abc
@@ -13,7 +13,7 @@
 
 import mothshed.constants as constants
 import mothshed.http.chunked as chunked
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.runtime.cancellation as cancellation_module
 
 LENGTH = re.compile(r"[0-9]{1,15}")
@@ -22,30 +22,30 @@
 class Response(http.client.HTTPResponse):
     """A response that notices bytes beyond its end, which the library would drop with its buffer."""
 
-    surplus = False
+    has_surplus = False
 
     def _close_conn(self) -> None:
         try:
             file = self.fp
             file.raw._sock.settimeout(0)
-            self.surplus = bool(file.peek(1))
+            self.has_surplus = bool(file.peek(1))
         except (OSError, ValueError, AttributeError):  # it has ended already
             pass
         super()._close_conn()
 
 
 def check_framing(raw: urllib3.BaseHTTPResponse) -> None:
-    """Raises WebFault unless the head says in one clear way where its body ends."""
+    """Raises ExchangeError unless the head says in one clear way where its body ends."""
     lengths = raw.headers.getlist("content-length")
     codings = [coding.lower() for coding in raw.headers.getlist("transfer-encoding")]
     if raw.status < 200:
-        raise web.WebFault("head is of no final status", True)
+        raise http_client.ExchangeError("head is of no final status", True)
     if codings and (lengths or codings != ["chunked"]):
-        raise web.WebFault("head says in two ways where its body ends", True)
+        raise http_client.ExchangeError("head says in two ways where its body ends", True)
     if len(lengths) > 1 or lengths and not LENGTH.fullmatch(lengths[0]):
-        raise web.WebFault("head says no clear length", True)
+        raise http_client.ExchangeError("head says no clear length", True)
     if not lengths and not codings and raw.status not in (204, 304):
-        raise web.WebFault("head is cut off or says no length", True)
+        raise http_client.ExchangeError("head is cut off or says no length", True)
 
 
 class Reply:
@@ -53,19 +53,19 @@
 
     def __init__(
         self,
-        kept: typing.Any,
+        pool: typing.Any,
         address: str,
         conn: typing.Any,
         sock: socket.socket,
         raw: typing.Any,
         cancellation: cancellation_module.Cancellation,
     ) -> None:
-        self.kept, self.address, self.conn, self.sock, self.raw = kept, address, conn, sock, raw
+        self.pool, self.address, self.conn, self.sock, self.raw = pool, address, conn, sock, raw
         self.cancellation = cancellation
         self.status, self.reason, self.headers = raw.status, raw.reason or "", raw.headers
-        self.whole = False
+        self.complete = False
 
-    def patience(self, span: float) -> None:
+    def set_timeout(self, timeout_s: float) -> None:
         """Seconds the next reads wait, each.
 
         Once the body is whole its socket is closed, or serves another exchange: it is left alone.
@@ -73,12 +73,12 @@
         if not self.conn or self.sock.fileno() < 0:
             return
         try:
-            self.sock.settimeout(max(span, 0.01))
-        except OSError as e:  # it has ended already
-            raise web.WebFault(f"body: {e}", True) from e
+            self.sock.settimeout(max(timeout_s, 0.01))
+        except OSError as error:  # it has ended already
+            raise http_client.ExchangeError(f"body: {error}", True) from error
 
     def pieces(self) -> collections.abc.Iterator[bytes]:
-        """Bytes as they come; ends only when the body is whole, else raises WebFault."""
+        """Bytes as they come; ends only when the body is whole, else raises ExchangeError."""
         try:
             if self.raw.chunked:
                 yield from self.chunks()
@@ -89,11 +89,11 @@
                         break
                     yield piece
                 if self.raw.length_remaining not in (0, None):
-                    raise web.WebFault("body is cut off", True)
-        except web.WebFault:
+                    raise http_client.ExchangeError("body is cut off", True)
+        except http_client.ExchangeError:
             raise
-        except (*web.FAULTS, AttributeError) as e:
-            raise web.WebFault(f"body: {type(e).__name__}: {e}", True) from e
+        except (*http_client.TRANSPORT_ERRORS, AttributeError) as error:
+            raise http_client.ExchangeError(f"body: {type(error).__name__}: {error}", True) from error
         self.finish()
 
     def chunks(self) -> collections.abc.Iterator[bytes]:
@@ -103,24 +103,24 @@
             yield piece
         self.raw._fp.close()
 
-    def all(self, most: int = constants.MAX_BODY_BYTES) -> bytes:
-        """The whole body at once; longer than most is a WebFault."""
-        rows, size = [], 0
+    def all(self, limit: int = constants.MAX_BODY_BYTES) -> bytes:
+        """The whole body at once; longer than limit is a ExchangeError."""
+        pieces, size = [], 0
         for piece in self.pieces():
-            rows.append(piece)
+            pieces.append(piece)
             size += len(piece)
-            if size > most:
+            if size > limit:
                 self.close()
-                raise web.WebFault("body is too long", True)
-        return b"".join(rows)
+                raise http_client.ExchangeError("body is too long", True)
+        return b"".join(pieces)
 
     def finish(self) -> None:
         """The body is whole: its connection may carry the next exchange."""
         if self.conn:
-            self.whole, conn, self.conn = True, self.conn, None
+            self.complete, conn, self.conn = True, self.conn, None
             self.cancellation.release()  # one that came before has ended the connection: it is not used again
-            surplus = self.raw._original_response.surplus
-            self.kept.give(self.address, conn, {"connection": "close"} if surplus else self.headers)
+            has_surplus = self.raw._original_response.has_surplus
+            self.pool.give_back(self.address, conn, {"connection": "close"} if has_surplus else self.headers)
 
     def close(self) -> None:
         """Ends the exchange where it stands; a replica at work sees it broken off."""
--- a/mothshed/programs/ask.py
+++ b/mothshed/programs/ask.py
@@ -7,7 +7,7 @@
 import urllib3
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 
 
 def one(pool, method, url, body):
@@ -53,7 +53,7 @@
     """(status, answer) of one call; 503 and the reason if there is no answer."""
     try:
         return one(pool, method, url, body)
-    except web.FAULTS as e:
+    except http_client.TRANSPORT_ERRORS as e:
         return 503, {"error": {"message": f"{type(e).__name__}: {e}", "verdict": "may_have_run"}}
 
 
@@ -99,6 +99,6 @@
                 timeout=urllib3.Timeout(connect=1.0, read=2.0),
             )
             found[address] = response.data.decode() if text else response.json()
-        except web.FAULTS:
+        except http_client.TRANSPORT_ERRORS:
             found[address] = None
     return found
--- a/mothshed/programs/environment.py
+++ b/mothshed/programs/environment.py
@@ -14,8 +14,8 @@
 
 import pykka
 
-import mothshed.http.kept as kept
-import mothshed.http.web as web
+import mothshed.http.connection_pool as connection_pool
+import mothshed.http.http_client as http_client
 import mothshed.runtime.clock as clock
 import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.mailbox as mailbox
@@ -26,8 +26,8 @@
 
     def __init__(self):
         self.random = random.Random()
-        self.web = web.Web()
-        self.kept = kept.Kept(clock.now)
+        self.web = http_client.HttpClient()
+        self.kept = connection_pool.ConnectionPool(clock.now)
 
     def now(self):
         return clock.now()
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -12,7 +12,7 @@
 
 import mothshed.configuration.settings as settings_module
 import mothshed.constants as constants
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.programs.environment as environment_module
 import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.timers as timers
@@ -43,9 +43,9 @@
 
     def app(environ, start):
         good = environ["PATH_INFO"] == path and ready()
-        return front.respond(start, 200 if good else 503, {"ready": good})
+        return http_server.respond(start, 200 if good else 503, {"ready": good})
 
-    server = front.Server(address, app, constants.READINESS_SERVER_THREADS)
+    server = http_server.Server(address, app, constants.READINESS_SERVER_THREADS)
     threading.Thread(target=server.safe_start, daemon=True).start()
 
 
--- a/mothshed/replicas/known_replicas.py
+++ b/mothshed/replicas/known_replicas.py
@@ -13,7 +13,7 @@
 import threading
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.platform_list as platform_list
 import mothshed.replicas.replica_adapter as replica_adapter
 
@@ -61,7 +61,7 @@
         while True:
             try:
                 self.update_list(platform_list.read(self.environment, self.list_url))
-            except web.WebFault as e:
+            except http_client.ExchangeError as e:
                 self.journal.add("list", outcome="failed", reason=str(e))
             self.list_attempted_at = self.environment.now()
             self.environment.sleep(constants.LIST_POLL_INTERVAL_S)
@@ -99,7 +99,7 @@
         try:
             self.update_condition(name, at, own, replica_adapter.condition(self.environment, url))
             self.failed_probes.pop(name, None)
-        except web.WebFault as e:
+        except http_client.ExchangeError as e:
             self.journal.add("probe", outcome="failed", replica=name, reason=str(e))
             self.failed_probes[name] = self.failed_probes.get(name, 0) + 1
             if self.failed_probes[name] >= constants.MAX_FAILED_PROBES:
--- a/mothshed/replicas/listed_replicas.py
+++ b/mothshed/replicas/listed_replicas.py
@@ -8,7 +8,7 @@
 """
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.known_replicas as replicas
 import mothshed.replicas.leaders as leaders
 
@@ -66,7 +66,7 @@
             rows = self.speech.rows(self.environment, self.list_url)
             self.update_list(rows)
             self.number, self.fresh_at = 0, started_at
-        except web.WebFault as e:
+        except http_client.ExchangeError as e:
             self.journal.add("list", outcome="failed", reason=str(e))
             self.fresh_at += constants.LIST_REQUEST_INTERVAL_S * self.environment.random.random()
         finally:
--- a/mothshed/replicas/platform_list.py
+++ b/mothshed/replicas/platform_list.py
@@ -5,13 +5,13 @@
 """
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 
 
 def read(environment, url):
     status, response = environment.web.poll("GET", url, read=constants.LIST_READ_TIMEOUT_S)
     if status != 200:
-        raise web.WebFault(f"list status {status}", True)
+        raise http_client.ExchangeError(f"list status {status}", True)
     return parse(response)
 
 
@@ -33,5 +33,5 @@
                 "leaving": item["state"] != "ready",
             }
     except (KeyError, TypeError, ValueError) as e:
-        raise web.WebFault(f"list: {e!r}", True) from e
+        raise http_client.ExchangeError(f"list: {e!r}", True) from e
     return rows
--- a/mothshed/replicas/replica_adapter.py
+++ b/mothshed/replicas/replica_adapter.py
@@ -11,7 +11,7 @@
 import json
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.verdict as verdict
 
 
@@ -77,7 +77,7 @@
     try:
         error = response.body().get("error", {})
         stated, kind = error.get("verdict"), error.get("type", "")
-    except (web.WebFault, AttributeError):
+    except (http_client.ExchangeError, AttributeError):
         stated, kind = None, ""
     proven = stated == "not_run" and response.headers.get("x-request-id") is not None
     outcome = verdict.Verdict.NOT_RUN if proven else verdict.Verdict.MAY_HAVE_RUN
@@ -120,7 +120,7 @@
             raise ValueError("handle is incomplete")
         if endpoint.engine and params["remote_engine_id"] != endpoint.engine:
             raise ValueError("handle belongs to another engine")
-    except web.WebFault as e:
+    except http_client.ExchangeError as e:
         raise send_failure(e, endpoint.name) from e
     except (KeyError, TypeError, ValueError) as e:
         raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"bad prefill response: {e!r}", endpoint.name) from e
@@ -158,7 +158,7 @@
         )
         if response.status != 200:
             raise status_failure(response, endpoint.name)
-    except web.WebFault as e:
+    except http_client.ExchangeError as e:
         raise send_failure(e, endpoint.name) from e
     return Stream(environment, name, endpoint, response, remaining_s)
 
@@ -188,7 +188,7 @@
                 yield text, finish
             if not (done and finish):
                 raise ValueError("stream ended without a finish reason and [DONE]")
-        except web.WebFault as e:
+        except http_client.ExchangeError as e:
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, str(e), self.endpoint.name) from e
         except (KeyError, IndexError, TypeError, ValueError) as e:
             raise verdict.SendFailure(verdict.Verdict.MAY_HAVE_RUN, f"stream: {e!r}", self.endpoint.name) from e
@@ -226,7 +226,7 @@
 def condition(environment, url):
     status, answer = environment.web.poll("GET", url + "/condition")
     if status != 200 or not isinstance(answer, dict):
-        raise web.WebFault(f"status {status}", True)
+        raise http_client.ExchangeError(f"status {status}", True)
     try:
         return {
             "engine": str(answer["engine_id"]),
@@ -238,7 +238,7 @@
             "standing": int(answer["standing"]),
         }
     except (KeyError, TypeError, ValueError) as e:
-        raise web.WebFault(f"condition: {e!r}", True) from e
+        raise http_client.ExchangeError(f"condition: {e!r}", True) from e
 
 
 def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready=lambda: True):
--- a/mothshed/runtime/charts.py
+++ b/mothshed/runtime/charts.py
@@ -5,13 +5,13 @@
 that the file does not allow in the current state raises, so a wrong order of
 steps fails loudly instead of passing by.
 
->>> c = load("request")
->>> c.step("admit"); c.state
+>>> chart = load("request")
+>>> chart.step("admit"); chart.state
 'admitted'
->>> c.step("relay")
+>>> chart.step("relay")
 Traceback (most recent call last):
 ...
-mothshed.runtime.charts.ChartFault: request: no 'relay' in state 'admitted'
+mothshed.runtime.charts.ChartError: request: no 'relay' in state 'admitted'
 """
 
 import functools
@@ -19,32 +19,32 @@
 import pathlib
 
 
-class ChartFault(Exception):
+class ChartError(Exception):
     """An event that the chart does not allow."""
 
 
 @functools.lru_cache
-def table(name):
+def load_definition(name):
     path = pathlib.Path(__file__).parent / "charts" / f"{name}.json"
-    data = json.loads(path.read_text())
-    for event, moves in data["events"].items():
-        for here, there in moves.items():
-            if here not in data["states"] or there not in data["states"]:
-                raise ChartFault(f"{name}: {event} names an unknown state")
-    return data
+    definition = json.loads(path.read_text())
+    for event, transitions in definition["events"].items():
+        for source, target in transitions.items():
+            if source not in definition["states"] or target not in definition["states"]:
+                raise ChartError(f"{name}: {event} names an unknown state")
+    return definition
 
 
 class Chart:
     def __init__(self, name):
         self.name = name
-        self.data = table(name)
-        self.state = self.data["first"]
+        self.definition = load_definition(name)
+        self.state = self.definition["first"]
 
     def step(self, event):
-        moves = self.data["events"].get(event, {})
-        if self.state not in moves:
-            raise ChartFault(f"{self.name}: no {event!r} in state {self.state!r}")
-        self.state = moves[self.state]
+        transitions = self.definition["events"].get(event, {})
+        if self.state not in transitions:
+            raise ChartError(f"{self.name}: no {event!r} in state {self.state!r}")
+        self.state = transitions[self.state]
 
 
 def load(name):
--- a/mothshed/runtime/counters.py
+++ b/mothshed/runtime/counters.py
@@ -7,31 +7,31 @@
 import mothshed.runtime.journal as journal
 import mothshed.runtime.log_buffer as log_buffer
 
-Figures = collections.abc.Callable[[], dict[str, int]]
+ReadGauges = collections.abc.Callable[[], dict[str, int]]
 
 
 class CountersReport:
     """Reports what was added to the totals since the last line; nothing while nothing changes.
 
-    figures: what the process holds now; it stands in the line as it is.
+    gauges: what the process holds now; it stands in the line as it is.
     """
 
-    def __init__(self, timers: typing.Any, totals: journal.Totals, figures: Figures = dict) -> None:
-        self.timers, self.totals, self.figures = timers, totals, figures
+    def __init__(self, timers: typing.Any, totals: journal.Totals, gauges: ReadGauges = dict) -> None:
+        self.timers, self.totals, self.gauges = timers, totals, gauges
         self.reported: dict[str, int] = {}
 
     def run(self) -> None:
         """Begin; the next line is due after one interval."""
-        self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.tick)
+        self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.report_changes)
 
-    def tick(self) -> None:
+    def report_changes(self) -> None:
         """Report what changed, and come again."""
-        added = self.added()
-        if added:
-            log_buffer.report("counters", **added, **self.figures())
-        self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.tick)
+        increments = self.take_increments()
+        if increments:
+            log_buffer.report("counters", **increments, **self.gauges())
+        self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.report_changes)
 
-    def added(self) -> dict[str, int]:
+    def take_increments(self) -> dict[str, int]:
         """Counter -> how much it grew since this was asked last."""
         counts = dict(self.totals.counts)
         grown = {name: count - self.reported.get(name, 0) for name, count in counts.items()}
--- a/mothshed/runtime/fading.py
+++ b/mothshed/runtime/decaying_sums.py
@@ -8,21 +8,21 @@
 Amounts = tuple[float, ...]
 
 
-class FadingSums:
+class DecayingSums:
     """Amounts of a few kinds, added up by name. A name that faded away is forgotten.
 
     >>> clock = [0.0]
-    >>> sums = FadingSums(lambda: clock[0], half_s=2.0, kinds=2)
+    >>> sums = DecayingSums(lambda: clock[0], half_life_s=2.0, kinds=2)
     >>> sums.add("a", 1.0, 8.0)
     >>> clock[0] = 2.0
     >>> sums.of("a"), sums.of("b")
     ((0.5, 4.0), (0.0, 0.0))
     """
 
-    def __init__(self, now: collections.abc.Callable[[], float], half_s: float, kinds: int) -> None:
+    def __init__(self, now: collections.abc.Callable[[], float], half_life_s: float, kinds: int) -> None:
         self.now = now
-        self.half_s = half_s
-        self.nothing: Amounts = (0.0,) * kinds
+        self.half_life_s = half_life_s
+        self.zeros: Amounts = (0.0,) * kinds
         self.lock = threading.Lock()
         self.sums: dict[str, tuple[float, Amounts]] = {}  # name -> (when summed, sums)
 
@@ -30,20 +30,20 @@
         """Add an amount of each kind under a name."""
         with self.lock:
             if name not in self.sums:
-                self._forget_faded()
-            added = tuple(old + new for old, new in zip(self._faded(name), amounts, strict=True))
+                self._forget_decayed()
+            added = tuple(previous + amount for previous, amount in zip(self._decayed(name), amounts, strict=True))
             self.sums[name] = (self.now(), added)
 
     def of(self, name: str) -> Amounts:
         """The sums of a name as of now."""
         with self.lock:
-            return self._faded(name)
+            return self._decayed(name)
 
-    def _faded(self, name: str) -> Amounts:
-        when, amounts = self.sums.get(name, (0.0, self.nothing))
-        keep = 0.5 ** ((self.now() - when) / self.half_s)
-        return tuple(amount * keep for amount in amounts)
+    def _decayed(self, name: str) -> Amounts:
+        summed_at, amounts = self.sums.get(name, (0.0, self.zeros))
+        factor = 0.5 ** ((self.now() - summed_at) / self.half_life_s)
+        return tuple(amount * factor for amount in amounts)
 
-    def _forget_faded(self) -> None:
-        oldest = self.now() - constants.MAX_HALF_LIVES * self.half_s
-        self.sums = {name: row for name, row in self.sums.items() if row[0] > oldest}
+    def _forget_decayed(self) -> None:
+        oldest = self.now() - constants.MAX_HALF_LIVES * self.half_life_s
+        self.sums = {name: entry for name, entry in self.sums.items() if entry[0] > oldest}
--- a/mothshed/runtime/journal.py
+++ b/mothshed/runtime/journal.py
@@ -5,10 +5,10 @@
 the latest events, which the log buffer writes out when something goes wrong; views
 keep what they folded.
 
->>> j = Journal()
->>> v = j.view(Count())
->>> j.add("sent", n=2); j.add("sent", n=1)
->>> v.sent
+>>> journal = Journal()
+>>> view = journal.view(SumView())
+>>> journal.add("sent", n=2); journal.add("sent", n=1)
+>>> view.sent
 3
 """
 
@@ -19,7 +19,7 @@
 import mothshed.constants as constants
 
 
-class Count:
+class SumView:
     """The doctest's view: adds up what was sent."""
 
     def __init__(self):
@@ -34,7 +34,7 @@
         self.now = now
         self.events = collections.deque(maxlen=constants.MAX_JOURNAL_EVENTS)
         self.views = []
-        self.given = None  # the last event handed out by fresh()
+        self.last_returned = None  # the last event returned by unwritten_events()
         self.lock = threading.RLock()
 
     def view(self, view):
@@ -48,11 +48,11 @@
             for view in self.views:
                 view.fold(kind, event)
 
-    def fresh(self):
+    def unwritten_events(self):
         """The events not handed out before, oldest first: [(kind, event)]."""
         with self.lock:
-            rows = list(itertools.takewhile(lambda row: row is not self.given, reversed(self.events)))
-            self.given = rows[0] if rows else self.given
+            rows = list(itertools.takewhile(lambda row: row is not self.last_returned, reversed(self.events)))
+            self.last_returned = rows[0] if rows else self.last_returned
         return rows[::-1]
 
 
@@ -67,7 +67,7 @@
         if "outcome" in event:
             self.counts[f"{kind}_{event['outcome']}"] += 1
 
-    def text(self, figures):
+    def text(self, gauges):
         """The page: each counter, and what the process holds now (name -> number)."""
         counted = "".join(f"mothshed_{name}_total {count}\n" for name, count in sorted(self.counts.items()))
-        return counted + "".join(f"mothshed_process_{name} {value}\n" for name, value in sorted(figures.items()))
+        return counted + "".join(f"mothshed_process_{name} {value}\n" for name, value in sorted(gauges.items()))
--- a/mothshed/runtime/log_buffer.py
+++ b/mothshed/runtime/log_buffer.py
@@ -36,17 +36,17 @@
     [True, True, False, True, False]
     """
 
-    def __init__(self, most: int, per_second: float) -> None:
-        self.most, self.per_second = most, per_second
-        self.left, self.at = float(most), 0.0
+    def __init__(self, burst: int, per_second: float) -> None:
+        self.burst, self.per_second = burst, per_second
+        self.available, self.updated_at = float(burst), 0.0
 
     def take(self, now: float) -> bool:
         """Whether one more line may be written at this moment, in seconds."""
-        self.left = min(float(self.most), self.left + (now - self.at) * self.per_second)
-        self.at = now
-        if self.left < 1.0:
+        self.available = min(float(self.burst), self.available + (now - self.updated_at) * self.per_second)
+        self.updated_at = now
+        if self.available < 1.0:
             return False
-        self.left -= 1.0
+        self.available -= 1.0
         return True
 
 
@@ -103,15 +103,15 @@
         fields["error"] = "".join(traceback.format_exception(error))
     note(kind, trouble=True, **fields)
     with LOCK:
-        span = time.monotonic() - STATE["last"]
-        if span > 5.0:
+        elapsed_s = time.monotonic() - STATE["last"]
+        if elapsed_s > 5.0:
             STATE["last"] = time.monotonic()
             write()
 
 
 def write() -> None:
     """Write and forget all that is in memory, with the journals' events that were not written before."""
-    events = [{"message_type": kind, **event} for journal in JOURNALS for kind, event in journal.fresh()]
+    events = [{"message_type": kind, **event} for journal in JOURNALS for kind, event in journal.unwritten_events()]
     if events:
         note("journal_written", at=JOURNALS[0].now(), events=len(events))
     rows = "".join(json_line(row) for row in [*MESSAGES, *events])
--- a/mothshed/runtime/timers.py
+++ b/mothshed/runtime/timers.py
@@ -50,8 +50,8 @@
         while True:
             with self.changed:
                 while not self.heap or self.heap[0][0] > clock.now():
-                    left = self.heap[0][0] - clock.now() if self.heap else None
-                    self.changed.wait(left)
+                    remaining_s = self.heap[0][0] - clock.now() if self.heap else None
+                    self.changed.wait(remaining_s)
                 post, timer = heapq.heappop(self.heap)[2:]
             if timer.call:
                 post(timer.fire)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -112,10 +112,14 @@
 
 
 def test_a_forbidden_import_and_a_circle_are_found():
-    graph = {"mothshed.http.web": {"tools.fleet"}, "tools.fleet": {"mothshed.http.web"}, "tests.one": set()}
-    assert refused("mothshed.http", graph, allowed()) == [("mothshed.http.web", "tools.fleet")]
+    graph = {
+        "mothshed.http.http_client": {"tools.fleet"},
+        "tools.fleet": {"mothshed.http.http_client"},
+        "tests.one": set(),
+    }
+    assert refused("mothshed.http", graph, allowed()) == [("mothshed.http.http_client", "tools.fleet")]
     assert refused("tools", graph, allowed()) == []
-    assert circles(graph) == ["mothshed.http.web", "tools.fleet"]
+    assert circles(graph) == ["mothshed.http.http_client", "tools.fleet"]
 
 
 def test_every_file_named_on_the_page_exists():
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -6,8 +6,8 @@
 import pytest
 
 import mothshed.http.caller as caller
-import mothshed.http.kept as kept_module
-import mothshed.http.web as web
+import mothshed.http.connection_pool as connection_pool
+import mothshed.http.http_client as http_client
 import mothshed.runtime.cancellation as cancellation_module
 import mothshed.runtime.clock as clock
 import tests.bare_http as bare_http
@@ -92,8 +92,8 @@
     cancellation, faults = cancellation_module.Cancellation(), []
 
     def send():
-        with pytest.raises(web.WebFault) as fault:
-            exchange(kept_module.Kept(clock.now), server, "/silent", cancellation)
+        with pytest.raises(http_client.ExchangeError) as fault:
+            exchange(connection_pool.ConnectionPool(clock.now), server, "/silent", cancellation)
         faults.append(fault.value)
 
     sender = threading.Thread(target=send)
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("whole_first", [True, False], ids=["after the body", "before its end"])
 def test_a_connection_is_used_again_only_if_it_was_let_go_first(server, whole_first):
-    connections, cancellation = kept_module.Kept(clock.now), cancellation_module.Cancellation()
+    connections, cancellation = connection_pool.ConnectionPool(clock.now), cancellation_module.Cancellation()
     reply = exchange(connections, server, "/", cancellation)
     if whole_first:
         assert reply.all() == b"body"
@@ -115,16 +115,16 @@
         cancellation.cancel()
         try:
             reply.all()  # what has come already may still be read
-        except web.WebFault:
+        except http_client.ExchangeError:
             reply.close()
     assert exchange(connections, server, "/", None).all() == b"body"
-    assert (connections.reused, connections.made) == ((1, 1) if whole_first else (0, 2))
+    assert (connections.reused_count, connections.opened_count) == ((1, 1) if whole_first else (0, 2))
 
 
 class Connection:
     """The front's connection as a caller sees it."""
 
-    arrived, left_at, caller = 3.0, None, None
+    arrived, disconnected_at, caller = 3.0, None, None
 
     def __init__(self, sock):
         self.socket = sock
@@ -134,9 +134,9 @@
 def test_a_caller_that_closed_has_left_whatever_it_sent_before(pair, sent):
     found = caller.Caller(Connection(pair[0]))
     pair[1].sendall(sent)
-    assert not found.has_left()
+    assert not found.has_disconnected()
     pair[1].close()
-    assert found.has_left()
+    assert found.has_disconnected()
 
 
 def test_a_caller_that_reset_its_connection_has_left():
@@ -146,18 +146,18 @@
         far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
         far.close()
         with near:
-            assert caller.Caller(Connection(near)).has_left()
+            assert caller.Caller(Connection(near)).has_disconnected()
 
 
 def test_a_request_read_after_its_caller_left_is_cancelled_from_the_start(pair):
     connection = Connection(pair[0])
-    connection.left_at = 5.0
+    connection.disconnected_at = 5.0
     found = caller.Caller(connection)
-    assert found.has_left() and found.cancellation.cancelled and found.left_at() == 5.0
+    assert found.has_disconnected() and found.cancellation.cancelled and found.disconnected_at() == 5.0
     assert connection.caller is found
 
 
 def test_a_request_without_a_connection_has_a_caller_that_stays():
     found = caller.Caller()
-    found.shut_after(1.0)
-    assert not found.has_left() and found.left_at() is None
+    found.close_after(1.0)
+    assert not found.has_disconnected() and found.disconnected_at() is None
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.programs.environment as environment_module
 import mothshed.runtime.clock as clock
 import tests.fleets as fleets
@@ -100,11 +100,11 @@
             closed.set()
 
     def app(environ, start):
-        environ["mothshed.caller"].shut_after(clock.now() + 0.5)
+        environ["mothshed.caller"].close_after(clock.now() + 0.5)
         start("200 OK", [("Content-Type", "text/plain")])
         return Endless()
 
-    server = front.Server("127.0.0.1:0", app, 2)
+    server = http_server.Server("127.0.0.1:0", app, 2)
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
     try:
--- a/tests/test_delivery_connections.py
+++ b/tests/test_delivery_connections.py
@@ -7,8 +7,8 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.http.kept as kept
-import mothshed.http.web as web
+import mothshed.http.connection_pool as connection_pool
+import mothshed.http.http_client as http_client
 import tests.bare_http as bare_http
 
 
@@ -45,7 +45,7 @@
 
 @pytest.fixture
 def pool(clock):
-    return kept.Kept(lambda: clock.time)
+    return connection_pool.ConnectionPool(lambda: clock.time)
 
 
 @pytest.fixture
@@ -67,10 +67,10 @@
 
 def test_idle_connections_are_reused_most_recent_first(pool):
     connection, newer = FakeConnection(), FakeConnection()
-    pool.give("r:1", connection, {})
-    pool.give("r:1", newer, {})
-    assert pool.take("r:2", False) is None
-    assert [pool.take("r:1", False) for _ in range(3)] == [newer, connection, None] and pool.reused == 2
+    pool.give_back("r:1", connection, {})
+    pool.give_back("r:1", newer, {})
+    assert pool.acquire("r:2", False) is None
+    assert [pool.acquire("r:1", False) for _ in range(3)] == [newer, connection, None] and pool.reused_count == 2
 
 
 @pytest.mark.parametrize(
@@ -78,10 +78,10 @@
 )
 def test_a_connection_with_pending_input_is_closed_and_not_reused(pool, disturb):
     good, bad = FakeConnection(), FakeConnection()
-    pool.give("r:1", good, {})
-    pool.give("r:1", bad, {})
+    pool.give_back("r:1", good, {})
+    pool.give_back("r:1", bad, {})
     disturb(bad)
-    assert pool.take("r:1", False) is good and bad.closed
+    assert pool.acquire("r:1", False) is good and bad.closed
 
 
 @pytest.mark.parametrize(
@@ -96,8 +96,8 @@
 )
 def test_a_connection_that_the_replica_will_close_is_not_kept(pool, headers):
     connection = FakeConnection()
-    pool.give("r:1", connection, headers)
-    assert connection.closed and pool.take("r:1", False) is None
+    pool.give_back("r:1", connection, headers)
+    assert connection.closed and pool.acquire("r:1", False) is None
 
 
 @pytest.mark.parametrize(
@@ -108,25 +108,25 @@
     max_idle_s = keep_alive_s - constants.KEEP_ALIVE_MARGIN_S if keep_alive_s else constants.DEFAULT_KEEP_ALIVE_S
     for idle_s, reused in ((max_idle_s - 0.01, True), (max_idle_s + 0.01, False)):
         connection = FakeConnection()
-        pool.give("r:1", connection, {"keep-alive": header} if header else {})
+        pool.give_back("r:1", connection, {"keep-alive": header} if header else {})
         clock.time += idle_s
-        assert (pool.take("r:1", False) is connection) == reused == (not connection.closed)
+        assert (pool.acquire("r:1", False) is connection) == reused == (not connection.closed)
 
 
 def test_a_request_that_must_not_run_twice_uses_only_recently_used_connections(pool, clock):
     connection = FakeConnection()
-    pool.give("r:1", connection, {"keep-alive": "timeout=5"})
+    pool.give_back("r:1", connection, {"keep-alive": "timeout=5"})
     clock.time += (5 - constants.KEEP_ALIVE_MARGIN_S) / 2 + 0.01
-    assert pool.take("r:1", True) is None and connection.closed
+    assert pool.acquire("r:1", True) is None and connection.closed
 
 
 def test_the_number_of_idle_connections_is_limited_and_old_ones_are_closed(pool, clock):
     connections = [FakeConnection() for _ in range(constants.MAX_IDLE_REPLICA_CONNECTIONS + 2)]
     for connection in connections:
-        pool.give("r:1", connection, {})
+        pool.give_back("r:1", connection, {})
     assert [row.closed for row in connections] == [True] * 2 + [False] * constants.MAX_IDLE_REPLICA_CONNECTIONS
     clock.time += constants.DEFAULT_KEEP_ALIVE_S + 0.01
-    pool.give("r:1", FakeConnection(), {})
+    pool.give_back("r:1", FakeConnection(), {})
     assert all(connection.closed for connection in connections)
     for connection in connections:
         connection.peer.close()
@@ -141,7 +141,7 @@
         bare_http.whole(200, [], b"new"),
     )
     assert [exchange(pool, server).all() for _ in range(5)] == [b"one", b"two", b"", b"end-here", b"new"]
-    assert [r.conn for r in server.requests] == [1, 1, 1, 1, 2] and (pool.made, pool.reused) == (2, 3)
+    assert [r.conn for r in server.requests] == [1, 1, 1, 1, 2] and (pool.opened_count, pool.reused_count) == (2, 3)
     assert all((r.method, r.target, r.body, r.get("A")) == ("POST", "/x", b"body", "b") for r in server.requests)
 
 
@@ -163,7 +163,7 @@
 @pytest.mark.parametrize("data", CUT, ids=repr)
 def test_a_truncated_body_is_an_error_and_its_connection_is_closed(pool, serve, data):
     server = serve(data, bare_http.whole(200, [], b"y"))
-    with pytest.raises(web.WebFault) as error:
+    with pytest.raises(http_client.ExchangeError) as error:
         exchange(pool, server).all()
     assert error.value.sent
     assert exchange(pool, server).all() == b"y" and [r.conn for r in server.requests] == [1, 2]
@@ -171,7 +171,7 @@
 
 def test_the_connection_of_a_body_delimited_by_close_is_not_kept(pool, serve):
     server = serve(b"HTTP/1.1 200 OK\r\nX: end-here\r\n\r\nall of it", bare_http.whole(200, [], b"y"))
-    with contextlib.suppress(web.WebFault):  # whether it is complete is unknown
+    with contextlib.suppress(http_client.ExchangeError):  # whether it is complete is unknown
         exchange(pool, server).all()
     assert exchange(pool, server).all() == b"y" and [r.conn for r in server.requests] == [1, 2]
 
@@ -192,37 +192,37 @@
     server = serve(*[bare_http.whole(200, [], b"one")] * reused, reply, bare_http.whole(200, [], b"never"))
     if reused:
         exchange(pool, server).all()
-    with pytest.raises(web.WebFault) as error:
+    with pytest.raises(http_client.ExchangeError) as error:
         exchange(pool, server).all()
     assert error.value.sent and len(server.requests) == 1 + reused
 
 
 def test_a_refused_connection_or_a_failed_last_check_proves_that_nothing_was_sent(pool, serve):
     server = serve(bare_http.whole(200, [], b"one"))
-    with pytest.raises(web.WebFault) as error:
+    with pytest.raises(http_client.ExchangeError) as error:
         exchange(pool, server, ready=lambda: False)
-    assert not error.value.sent and str(error.value) == web.NOT_READY
-    assert exchange(pool, server).all() == b"one" and pool.made == 1  # the connection was kept
+    assert not error.value.sent and str(error.value) == http_client.NOT_READY
+    assert exchange(pool, server).all() == b"one" and pool.opened_count == 1  # the connection was kept
     server.stop()
-    with pytest.raises(web.WebFault) as error:
-        exchange(kept.Kept(lambda: 0.0), server)
+    with pytest.raises(http_client.ExchangeError) as error:
+        exchange(connection_pool.ConnectionPool(lambda: 0.0), server)
     assert not error.value.sent
 
 
 def test_a_silent_replica_is_an_error_after_the_read_timeout(pool):
     with socket.create_server(("127.0.0.1", 0)) as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        with pytest.raises(web.WebFault) as error:
+        with pytest.raises(http_client.ExchangeError) as error:
             pool.exchange("GET", address, "/", {}, None, 0.05)
         assert error.value.sent and "Timeout" in str(error.value)
-        pool.look(address)  # it still accepts connections
-    with pytest.raises(web.WebFault):
-        kept.Kept(lambda: 0.0).look(address)
+        pool.check_connects(address)  # it still accepts connections
+    with pytest.raises(http_client.ExchangeError):
+        connection_pool.ConnectionPool(lambda: 0.0).check_connects(address)
 
 
 def test_idle_connections_to_a_removed_replica_are_closed(pool, clock):
     gone, other = FakeConnection(), FakeConnection()
-    pool.give("gone:1", gone, {})
+    pool.give_back("gone:1", gone, {})
     clock.time += constants.DEFAULT_KEEP_ALIVE_S + constants.IDLE_SWEEP_INTERVAL_S + 0.1
-    pool.give("other:1", other, {})
+    pool.give_back("other:1", other, {})
     assert gone.closed and not other.closed and list(pool.idle) == ["other:1"]
--- a/tests/test_delivery_parts.py
+++ b/tests/test_delivery_parts.py
@@ -27,19 +27,19 @@
 @pytest.mark.parametrize("name", TEXTS)
 def test_events_do_not_depend_on_how_the_bytes_are_split(name):
     text = TEXTS[name]
-    whole = list(events.split([text]))
+    whole = list(events.split_events([text]))
     assert [number for event, number in whole] == IDS[name] and b"".join(event for event, _number in whole) == text
     for first_cut, second_cut in itertools.combinations_with_replacement(range(len(text) + 1), 2):
-        assert list(events.split([text[:first_cut], text[first_cut:second_cut], text[second_cut:]])) == whole
-    assert list(events.split([bytes([b]) for b in text])) == whole
+        assert list(events.split_events([text[:first_cut], text[first_cut:second_cut], text[second_cut:]])) == whole
+    assert list(events.split_events([bytes([b]) for b in text])) == whole
 
 
 def test_no_event_is_returned_before_it_is_complete():
     text = TEXTS["crlf"]
     for end in range(len(text)):
-        complete = list(events.split([text[:end]]))
+        complete = list(events.split_events([text[:end]]))
         assert all(event.endswith(b"\r\n\r\n") for event, number in complete[:-1])
-    assert list(events.split([])) == list(events.split([b""])) == []
+    assert list(events.split_events([])) == list(events.split_events([b""])) == []
 
 
 # --- sequences that are not consecutive --------------------------------------
--- a/tests/test_door_properties.py
+++ b/tests/test_door_properties.py
@@ -13,7 +13,7 @@
 import hypothesis.strategies as strategies
 import pytest
 
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import tests.platform_site as platform_site
 
 EXAMPLES = int(os.environ.get("MOTHSHED_EXAMPLES", "60"))
@@ -25,19 +25,19 @@
 
     def __init__(self):
         self.seen, self.lock = [], threading.Lock()
-        self.server = front.Server("127.0.0.1:0", self, 8)
+        self.server = http_server.Server("127.0.0.1:0", self, 8)
         host, port = platform_site.serve(self.server).rsplit(":", 1)
         self.address = host, int(port)
 
     def __call__(self, environ, start):
         name = environ["mothshed.headers"].get("Try-Id", "")
         try:
-            body = front.body_of(environ)
-        except front.BadBody as e:
-            return front.fault(start, e.status, e.reason, headers=[("Connection", "close")])
+            body = http_server.read_body(environ)
+        except http_server.BodyError as e:
+            return http_server.error_response(start, e.status, e.reason, headers=[("Connection", "close")])
         with self.lock:
             self.seen.append((name, body))
-        return front.respond(start, 200, b"%b=%b;" % (name.encode(), body))
+        return http_server.respond(start, 200, b"%b=%b;" % (name.encode(), body))
 
     def say(self, pieces, shut=True):
         """Sends the pieces one by one; all that comes back until the end."""
--- a/tests/test_draining.py
+++ b/tests/test_draining.py
@@ -42,7 +42,7 @@
     address, port = site.address.rsplit(":", 1)
     with socket.create_connection((address, int(port)), 8) as conn:
         conn.sendall(b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Le" % host.encode())
-        platform_site.until(site.server.exchanging)
+        platform_site.until(site.server.has_active_exchange)
         ended = start_drain(site)
         assert not ended.wait(0.2)
         conn.sendall(b"ngth: 3\r\n\r\nabc")
--- a/tests/test_exchange_moments.py
+++ b/tests/test_exchange_moments.py
@@ -154,8 +154,8 @@
     host, replicas = site.service("dd", engine=False, kind="once_only", tries=2, facts={"events": 0})
     for _ in range(6):
         site.ask(host, prompt=False)
-    before, reused = platform_site.asked(replicas), site.environment.kept.reused
-    former_take = site.environment.kept.take
+    before, reused = platform_site.asked(replicas), site.environment.kept.reused_count
+    former_take = site.environment.kept.acquire
 
     def take_and_close(*args):
         conn = former_take(*args)
@@ -168,9 +168,9 @@
                     connection.shutdown(socket.SHUT_RDWR)
         return conn
 
-    monkeypatch.setattr(site.environment.kept, "take", take_and_close)
+    monkeypatch.setattr(site.environment.kept, "acquire", take_and_close)
     request_id, response = site.ask(host, prompt=False)
-    assert site.environment.kept.reused == reused + 1
+    assert site.environment.kept.reused_count == reused + 1
     assert (
         is_unproven_failure(response)
         and site.platform.ran(request_id) == []
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-import mothshed.http.kept as kept
-import mothshed.http.web as web
+import mothshed.http.connection_pool as connection_pool
+import mothshed.http.http_client as http_client
 import tests.bare_http as bare_http
 import tests.platform_site as platform_site
 
@@ -55,17 +55,17 @@
 @pytest.mark.parametrize("surplus", [b"H", ONE, b"\r\n"], ids=repr)
 def test_surplus_bytes_after_a_complete_response_close_its_connection(serve, first, surplus):
     """Also bytes that arrived together with it and stand in the read buffer."""
-    idle, server = kept.Kept(lambda: 0.0), serve(first + surplus, TWO)
+    idle, server = connection_pool.ConnectionPool(lambda: 0.0), serve(first + surplus, TWO)
     assert ask(idle, server).all() == b"one"
     assert idle.idle.get(server.address, []) == []
     assert ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
 
 
 def test_two_sends_of_one_request_never_share_a_connection(serve):
-    idle, server = kept.Kept(lambda: 0.0), serve(ONE, TWO, ONE, TWO)
+    idle, server = connection_pool.ConnectionPool(lambda: 0.0), serve(ONE, TWO, ONE, TWO)
     for name in ("a", "a", "b", "a"):
         ask(idle, server, name).all()
-    assert [r.conn for r in server.asked] == [1, 2, 2, 3] and idle.reused == 1
+    assert [r.conn for r in server.asked] == [1, 2, 2, 3] and idle.reused_count == 1
 
 
 def test_a_duplicate_rejection_is_not_taken_for_the_response_to_the_next_send_of_its_request(site):
@@ -104,15 +104,18 @@
     ids=repr,
 )
 def test_a_response_with_ambiguous_framing_is_an_error(serve, head):
-    idle, server = kept.Kept(lambda: 0.0), serve(bare_http.head(200, head) + b"3\r\nabc\r\n0\r\n\r\n", TWO)
-    with pytest.raises(web.WebFault) as fault:
+    idle, server = (
+        connection_pool.ConnectionPool(lambda: 0.0),
+        serve(bare_http.head(200, head) + b"3\r\nabc\r\n0\r\n\r\n", TWO),
+    )
+    with pytest.raises(http_client.ExchangeError) as fault:
         ask(idle, server).all()
     assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
 
 
 def test_a_status_that_is_not_final_is_an_error(serve):
-    idle, server = kept.Kept(lambda: 0.0), serve(b"HTTP/1.1 102 Processing\r\n\r\n" + ONE)
-    with pytest.raises(web.WebFault):
+    idle, server = connection_pool.ConnectionPool(lambda: 0.0), serve(b"HTTP/1.1 102 Processing\r\n\r\n" + ONE)
+    with pytest.raises(http_client.ExchangeError):
         ask(idle, server)
 
 
@@ -128,8 +131,8 @@
     ids=repr,
 )
 def test_a_response_with_malformed_chunks_is_an_error(serve, data):
-    idle, server = kept.Kept(lambda: 0.0), serve(CHUNKED + data, TWO)
-    with pytest.raises(web.WebFault) as fault:
+    idle, server = connection_pool.ConnectionPool(lambda: 0.0), serve(CHUNKED + data, TWO)
+    with pytest.raises(http_client.ExchangeError) as fault:
         ask(idle, server).all()
     assert fault.value.sent and ask(idle, server).all() == b"two" and [r.conn for r in server.asked] == [1, 2]
 
--- a/tests/test_first_list.py
+++ b/tests/test_first_list.py
@@ -6,7 +6,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.replicas.listed_replicas as listed_replicas
 import mothshed.runtime.journal as journal
 import tests.all_orders as all_orders
@@ -73,7 +73,9 @@
         return {"d1": {**ROW, "role": "decode", "slots": 8}}
 
 
-@pytest.mark.parametrize("fault", [web.WebFault("timed out", True), RuntimeError("no thread can be started")])
+@pytest.mark.parametrize(
+    "fault", [http_client.ExchangeError("timed out", True), RuntimeError("no thread can be started")]
+)
 @pytest.mark.parametrize("timeouts", [0, 1, 3])
 def test_a_process_that_receives_no_list_reads_it_until_that_succeeds(process, timeouts, fault):
     """The first reading is due within two times LIST_MAX_AGE_S, each further one within a request interval."""
--- a/tests/test_front_threads.py
+++ b/tests/test_front_threads.py
@@ -5,7 +5,7 @@
 import time
 
 import mothshed.constants as constants
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 
 MOST = 3 * constants.SERVER_STEP_THREADS
 
@@ -15,9 +15,9 @@
 
     def app(environ, start):
         together.wait(20)
-        return front.respond(start, 200, b"ok")
+        return http_server.respond(start, 200, b"ok")
 
-    server = front.Server("127.0.0.1:0", app, MOST)
+    server = http_server.Server("127.0.0.1:0", app, MOST)
     server.prepare()
     assert len(server.requests._threads) == constants.SERVER_STEP_THREADS
     threading.Thread(target=server.serve, daemon=True).start()
@@ -42,20 +42,20 @@
 
 
 def test_threads_that_rest_end_a_step_at_a_time_until_few_are_idle(monkeypatch):
-    monkeypatch.setattr(front.Server, "watch", lambda server: None)  # the test looks in its place
-    server = front.Server("127.0.0.1:0", lambda environ, start: front.respond(start, 200, b"ok"), MOST)
+    monkeypatch.setattr(http_server.Server, "monitor_connections", lambda server: None)  # the test looks in its place
+    server = http_server.Server("127.0.0.1:0", lambda environ, start: http_server.respond(start, 200, b"ok"), MOST)
     server.prepare()
     try:
         server.requests.grow(MOST - constants.SERVER_STEP_THREADS)
         now, threads = server.many_idle_since, list(server.requests._threads)
-        server.fit_threads(now + constants.SERVER_THREAD_IDLE_S / 2)
+        server.adjust_thread_count(now + constants.SERVER_THREAD_IDLE_S / 2)
         wait_until_alive(threads, MOST)  # a short rest ends none
         for left in (MOST - constants.SERVER_STEP_THREADS, MOST - 2 * constants.SERVER_STEP_THREADS):
             now += constants.SERVER_THREAD_IDLE_S + 0.1
-            server.fit_threads(now)
+            server.adjust_thread_count(now)
             wait_until_alive(threads, left)
             server.requests.shrink(0)  # takes the ended ones off the library's list
-        server.fit_threads(now + 10 * constants.SERVER_THREAD_IDLE_S)
+        server.adjust_thread_count(now + 10 * constants.SERVER_THREAD_IDLE_S)
         assert (
             len(server.requests._threads) == MOST - 2 * constants.SERVER_STEP_THREADS == constants.SERVER_STEP_THREADS
         )
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -9,7 +9,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.http.idle as idle
 import mothshed.runtime.clock as clock_module
 import tests.bare_http as bare_http
@@ -29,7 +29,7 @@
 @pytest.fixture
 def manager():
     """The server's idle connections, with nobody selecting among them."""
-    server = front.Server("127.0.0.1:0", lambda environ, start: [], 1)
+    server = http_server.Server("127.0.0.1:0", lambda environ, start: [], 1)
     server.prepare()
     yield server._connections
     server.stop()
@@ -58,11 +58,11 @@
 
 @pytest.mark.parametrize("rested", [0.0, 4.0, 11.0])
 def test_after_a_shorter_limit_the_longer_one_holds_for_its_span(manager, clock, rested):
-    manager.server.limit_idle(15.0)
+    manager.server.set_idle_limit(15.0)
     clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + 0.01  # the first limit no longer counts
     conn = Conn(manager)
     clock.time += rested
-    manager.server.limit_idle(2.0)
+    manager.server.set_idle_limit(2.0)
     clock.time += 0.8 * 15.0 - rested  # as long as a caller may let it rest that knows the old limit
     manager._expire(0)
     assert not conn.closed
@@ -73,7 +73,7 @@
 
 def test_a_longer_limit_holds_at_once(manager, clock):
     conn = Conn(manager)
-    manager.server.limit_idle(60.0)
+    manager.server.set_idle_limit(60.0)
     clock.time += 0.8 * 60.0
     manager._expire(0)
     assert not conn.closed
@@ -101,7 +101,7 @@
 
     def __init__(self):
         self.go, self.begun = threading.Event(), threading.Event()
-        self.server = front.Server("127.0.0.1:0", self.app, 4)
+        self.server = http_server.Server("127.0.0.1:0", self.app, 4)
         self.server.expiration_interval = 0.01
         self.address = platform_site.serve(self.server)
 
@@ -149,7 +149,7 @@
     gated.go.set()
     with gated.connect() as conn, gated.connect() as idle_one:
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.exchanging)
+        platform_site.until(gated.server.has_active_exchange)
         gated.server.idle_limit = idle.IdleLimit(0.0)
         assert idle_one.recv(1) == b""
         conn.sendall(REQUEST[9:])
@@ -159,9 +159,9 @@
 def test_a_stopping_server_knows_of_requests_that_have_not_come_whole(gated):
     gated.go.set()
     with gated.connect() as conn:
-        assert not gated.server.exchanging()
+        assert not gated.server.has_active_exchange()
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.exchanging)
+        platform_site.until(gated.server.has_active_exchange)
         conn.sendall(REQUEST[9:])
         conn.recv(1)
-        platform_site.until(lambda: not gated.server.exchanging())
+        platform_site.until(lambda: not gated.server.has_active_exchange())
--- a/tests/test_last_responses.py
+++ b/tests/test_last_responses.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import mothshed.http.kept as kept
+import mothshed.http.connection_pool as connection_pool
 import tests.bare_http as bare_http
 import tests.platform_site as platform_site
 
@@ -56,11 +56,11 @@
     """The connection may be in use by another exchange by then."""
     server = bare_http.Listener()
     server.answer = lambda conn, request: conn.sendall(bare_http.whole(200, [], b"one")) or True
-    pool = kept.Kept(lambda: 0.0)
+    pool = connection_pool.ConnectionPool(lambda: 0.0)
     first = pool.exchange("GET", server.address, "/", {}, None, 5.0)
     assert first.all() == b"one"
     second = pool.exchange("GET", server.address, "/", {}, None, 5.0)
-    assert second.sock is first.sock and pool.reused == 1
-    first.patience(0.01)
+    assert second.sock is first.sock and pool.reused_count == 1
+    first.set_timeout(0.01)
     assert second.sock.gettimeout() == 5.0 and second.all() == b"one"
     server.stop()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -108,8 +108,8 @@
     log_buffer.write()
     for number in range(journal.events.maxlen + 10):
         journal.add("free", number=number)
-    assert [e["number"] for k, e in journal.fresh()] == list(range(10, journal.events.maxlen + 10))
-    assert journal.fresh() == []
+    assert [e["number"] for k, e in journal.unwritten_events()] == list(range(10, journal.events.maxlen + 10))
+    assert journal.unwritten_events() == []
 
 
 def put(path, *found):
--- a/tests/test_order_last_check.py
+++ b/tests/test_order_last_check.py
@@ -5,7 +5,7 @@
 import pytest
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import tests.order_group as order_group
 import tests.platform_site as platform_site
 
@@ -21,7 +21,7 @@
     def order_role(environment, endpoint, role, fencing_token, leader_id, sequence, ready):
         change(group)
         if not ready():
-            raise web.WebFault(web.NOT_READY, False)
+            raise http_client.ExchangeError(http_client.NOT_READY, False)
         written.append((leader_id, fencing_token))
         return True
 
@@ -137,7 +137,7 @@
     try:
         host, (replica,) = site.service("p")
         order, endpoint = site.router.replica_protocol.order_role, site.router.replicas.endpoint(replica.name)
-        with pytest.raises(web.WebFault):
+        with pytest.raises(http_client.ExchangeError):
             order(site.environment, endpoint, "decode", 41, "k1", 3, lambda: False)
         assert replica.orders == []
         assert order(site.environment, endpoint, "decode", 41, "k1", 3, lambda: True)
--- a/tests/test_outcomes.py
+++ b/tests/test_outcomes.py
@@ -81,7 +81,7 @@
 
 
 def test_a_replica_that_fails_all_requests_soon_gets_no_more(site, monkeypatch):
-    monkeypatch.setattr(site.router.placement.outcomes.counts, "half_s", 1e9)  # no decay, however slow the machine
+    monkeypatch.setattr(site.router.placement.outcomes.counts, "half_life_s", 1e9)  # no decay, however slow the machine
     host, (bad, *good) = site.service("ddd", engine=False, kind="repeatable", tries=1)
     bad.always = {"own": 500}
     statuses = [site.ask(host, prompt=False)[1].status for _ in range(60)]
--- a/tests/test_reply_properties.py
+++ b/tests/test_reply_properties.py
@@ -11,8 +11,8 @@
 import hypothesis.strategies as strategies
 import pytest
 
-import mothshed.http.kept as kept
-import mothshed.http.web as web
+import mothshed.http.connection_pool as connection_pool
+import mothshed.http.http_client as http_client
 import tests.bare_http as bare_http
 
 EXAMPLES = int(os.environ.get("MOTHSHED_EXAMPLES", "60"))
@@ -47,7 +47,7 @@
     try:
         reply = idle.exchange("POST", script.address, "/x", {}, b"b", 2.0)
         return reply.headers.get("try-id"), reply.all()
-    except web.WebFault as e:
+    except http_client.ExchangeError as e:
         assert e.sent
         return None
 
@@ -80,10 +80,10 @@
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, places=CUTS)
 def test_an_answer_cut_anywhere_is_read_whole_and_its_connection_kept(script, body, sizes, places):
-    idle = kept.Kept(lambda: 0.0)
+    idle = connection_pool.ConnectionPool(lambda: 0.0)
     for name in ("a", "b"):
         assert exchange(script, idle, cut(framed(name, body, sizes), places)) == (name, body)
-    assert (idle.made, idle.reused) == (1, 1)
+    assert (idle.opened_count, idle.reused_count) == (1, 1)
 
 
 @BOUNDED
@@ -91,13 +91,13 @@
 def test_an_answer_that_ends_before_its_body_is_whole_is_a_fault(script, body, sizes, at):
     data = framed("a", body, sizes)
     at %= len(data)  # without its last byte at least
-    assert exchange(script, kept.Kept(lambda: 0.0), [data[:at]], end=True) is None
+    assert exchange(script, connection_pool.ConnectionPool(lambda: 0.0), [data[:at]], end=True) is None
 
 
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, surplus=strategies.binary(min_size=1, max_size=40), places=CUTS)
 def test_surplus_bytes_are_never_part_of_an_answer_nor_of_the_next(script, body, sizes, surplus, places):
-    idle = kept.Kept(lambda: 0.0)
+    idle = connection_pool.ConnectionPool(lambda: 0.0)
     data = framed("a", body, sizes)
     assert exchange(script, idle, [*cut(data, places)[:-1], cut(data, places)[-1] + surplus]) == ("a", body)
     assert exchange(script, idle, [framed("b", b"next", None)]) in (("b", b"next"), None)
@@ -106,17 +106,17 @@
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, times=strategies.integers(2, 4))
 def test_doubled_answers_end_their_connection(script, body, sizes, times):
-    idle = kept.Kept(lambda: 0.0)
+    idle = connection_pool.ConnectionPool(lambda: 0.0)
     assert exchange(script, idle, [framed("a", body, sizes) * times]) == ("a", body)
     assert exchange(script, idle, [framed("b", b"next", None)]) == ("b", b"next")
-    assert (idle.made, idle.reused) == (2, 0)
+    assert (idle.opened_count, idle.reused_count) == (2, 0)
 
 
 @BOUNDED
 @hypothesis.given(data=strategies.binary(max_size=200))
 def test_bytes_that_are_no_answer_are_a_fault(script, data):
     hypothesis.assume(not data.startswith(b"HTTP/"))
-    assert exchange(script, kept.Kept(lambda: 0.0), [data] if data else [], end=True) is None
+    assert exchange(script, connection_pool.ConnectionPool(lambda: 0.0), [data] if data else [], end=True) is None
 
 
 @BOUNDED
@@ -132,5 +132,5 @@
     data = framed("a", body, [3])
     begin = data.index(b"\r\n\r\n") + 4
     at = begin + at % (len(data) - begin)
-    found = exchange(script, kept.Kept(lambda: 0.0), [data[:at] + byte + data[at + 1 :]], end=True)
+    found = exchange(script, connection_pool.ConnectionPool(lambda: 0.0), [data[:at] + byte + data[at + 1 :]], end=True)
     assert found is None or len(found[1]) == len(body)
--- a/tests/test_request_bodies.py
+++ b/tests/test_request_bodies.py
@@ -49,7 +49,7 @@
     with connect(site) as conn:
         conn.sendall(head(host, b"one", CHUNKED) + b"3\r\nabc\r\n0\r\n" + trailer + b"\r\n")
         assert conn.recv(1) == b"H"
-        platform_site.until(lambda: not site.server.exchanging())  # an idle connection holds no thread
+        platform_site.until(lambda: not site.server.has_active_exchange())  # an idle connection holds no thread
         conn.sendall(head(host, b"two", b"Content-Length: 2", b"Connection: close") + b"de")
         received = read_until_closed(conn)
     assert received.count(b"HTTP/1.1 ") == 1 + (received[:4] == b"HTTP") and received.count(b"TTP/1.1 200") == 2
--- a/tools/callers.py
+++ b/tools/callers.py
@@ -9,7 +9,7 @@
 import json
 import random
 
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import tools.replica_memory as replica_memory
 
 SHARED = {
@@ -75,13 +75,13 @@
     }
     try:
         response = environment.web.send("POST", f"http://{router}/v1/completions", body, headers, read=12)
-    except web.WebFault as e:
+    except http_client.ExchangeError as e:
         row.update(end="lost" if e.sent else "refused", done=environment.now(), error=str(e))
         return row
     row["status"] = response.status
     try:
         read(environment, response, row, call["stream"])
-    except (web.WebFault, ValueError, KeyError) as e:
+    except (http_client.ExchangeError, ValueError, KeyError) as e:
         row.update(end="broken", error=f"{type(e).__name__}: {e}")
     finally:
         response.close()
--- a/tools/hollow/parts.py
+++ b/tools/hollow/parts.py
@@ -161,7 +161,7 @@
         for at in range(self.events):
             yield b'id: %d\ndata: {"token":" word"}\n\n' % (at + 1)
 
-    def patience(self, span):
+    def set_timeout(self, span):
         pass
 
     def close(self):
@@ -181,7 +181,7 @@
         ready()
         return None  # the writer reads for itself: no free is left behind
 
-    def decode(self, environment, ask, place, handle, left, read, ready, after, urgency, wary):
+    def decode(self, environment, ask, place, handle, left, read, ready, after, urgency, recent_only):
         ready()
         return HollowReply(self.events)
 
--- a/tools/hollow/real.py
+++ b/tools/hollow/real.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.programs.environment as environment_module
 import mothshed.runtime.timers as timers
 import mothshed.transport.link as link
@@ -47,7 +47,9 @@
     server = router.front()
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
-    ready = front.Server(f"127.0.0.1:{free_port()}", lambda environ, start: [], constants.READINESS_SERVER_THREADS)
+    ready = http_server.Server(
+        f"127.0.0.1:{free_port()}", lambda environ, start: [], constants.READINESS_SERVER_THREADS
+    )
     ready.prepare()
     time.sleep(0.5)
     served = condition_of()
--- a/tools/hollow/speech.py
+++ b/tools/hollow/speech.py
@@ -4,7 +4,7 @@
 is not counted here.
 """
 
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 
 
 class Speech:
@@ -17,7 +17,7 @@
         while page is not None:
             status, said = environment.web.poll("GET", f"{url}/list/p-{page}")
             if status != 200:
-                raise web.WebFault(f"list status {status}", True)
+                raise http_client.ExchangeError(f"list status {status}", True)
             found.update(said["rows"])
             page = said["next"]
         return found
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -10,7 +10,7 @@
 import json
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.transport.records as records
 
 LOW, SPAN = 0.0003, 0.0012  # s; a local network's delay
@@ -118,10 +118,10 @@
         if not self.channel.pieces:
             self.event.clear()
             if not self.event.wait(self.read):
-                raise web.WebFault("ReadTimeoutError", True)
+                raise http_client.ExchangeError("ReadTimeoutError", True)
         kind, data = self.channel.pieces.pop(0)
         if kind == "reset":
-            raise web.WebFault("ProtocolError: reset", True)
+            raise http_client.ExchangeError("ProtocolError: reset", True)
         return kind, data
 
     def bytes(self):
@@ -130,7 +130,7 @@
             kind, data = self.pull()
             if kind == "end":
                 if self.size is not None and got != self.size:
-                    raise web.WebFault("IncompleteRead", True)
+                    raise http_client.ExchangeError("IncompleteRead", True)
                 return
             got += len(data)
             yield data
@@ -139,7 +139,7 @@
         try:
             return json.loads(b"".join(self.bytes()))
         except ValueError as e:
-            raise web.WebFault(f"body: {e}", True) from e
+            raise http_client.ExchangeError(f"body: {e}", True) from e
         finally:
             self.close()
 
@@ -151,7 +151,7 @@
                 *whole, rest = rest.split(b"\n")
                 yield from whole
             if rest:
-                raise web.WebFault("stream ends within a line", True)
+                raise http_client.ExchangeError("stream ends within a line", True)
         finally:
             self.close()
 
@@ -187,14 +187,14 @@
         other = found[0] if found else None
         if other and not (net.open(own, other) and net.open(other, own)):
             loop.sleep(own, connect)
-            raise web.WebFault("ConnectTimeoutError", False)
+            raise http_client.ExchangeError("ConnectTimeoutError", False)
         net.watch(own, path)
         loop.sleep(own, LOW + loop.random.random() * SPAN)
         found = net.apps.get(address)
         if not found or not found[0].alive:
-            raise web.WebFault("NewConnectionError", False)
+            raise http_client.ExchangeError("NewConnectionError", False)
         if not ready():
-            raise web.WebFault(web.NOT_READY, False)
+            raise http_client.ExchangeError(http_client.NOT_READY, False)
         self.net.written(own, path)
         other, app = found
         channel, event = Channel(net, own, other), self.new_event()
--- a/tools/stand_in_list.py
+++ b/tools/stand_in_list.py
@@ -11,7 +11,7 @@
 import json
 import threading
 
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.runtime.clock as clock
 
 
@@ -61,11 +61,11 @@
 
     def __call__(self, environ, start):
         path = environ["PATH_INFO"]
-        data = front.body_of(environ)
+        data = http_server.read_body(environ)
         if path == "/replicas":
             if any(since <= self.now() < until for since, until in self.downs):
-                return front.fault(start, 503, "list is down")
-            return front.respond(start, 200, {"items": list(self.shown(environ.get("REMOTE_ADDR", "")).values())})
+                return http_server.error_response(start, 503, "list is down")
+            return http_server.respond(start, 200, {"items": list(self.shown(environ.get("REMOTE_ADDR", "")).values())})
         if path == "/set":
             item = json.loads(data)
             self.change(item["name"], item)
@@ -74,8 +74,8 @@
         elif path == "/down":
             self.down(json.loads(data)["seconds"])
         elif path != "/shown":
-            return front.fault(start, 404, "no such path")
-        return front.respond(start, 200, {"leaving": self.history()})
+            return http_server.error_response(start, 404, "no such path")
+        return http_server.respond(start, 200, {"leaving": self.history()})
 
 
 def main():
@@ -83,7 +83,7 @@
     parser.add_argument("--address", required=True)
     parser.add_argument("--lag", type=float, default=0.7)
     args = parser.parse_args()
-    front.Server(args.address, PlatformList(args.lag), 16).safe_start()
+    http_server.Server(args.address, PlatformList(args.lag), 16).safe_start()
 
 
 if __name__ == "__main__":
--- a/tools/stand_in_replica.py
+++ b/tools/stand_in_replica.py
@@ -12,8 +12,8 @@
 import json
 import os
 
-import mothshed.http.front as front
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
+import mothshed.http.http_server as http_server
 import mothshed.programs.environment as environment_module
 import tools.replica_memory as replica_memory
 import tools.token_stream as token_stream
@@ -34,31 +34,31 @@
         dark = memory.fault.get("dark_until", 0) - self.environment.now()
         if dark > 0 and path != "/fault":
             self.environment.sleep(min(dark, 30))
-        data = front.body_of(environ)
+        data = http_server.read_body(environ)
         body = json.loads(data) if data else {}
         if path == "/condition":
-            return front.respond(start, 200, memory.condition())
+            return http_server.respond(start, 200, memory.condition())
         if path == "/kv/pull":
             self.environment.sleep(memory.fault.get("link", 0))
             digest = memory.pull(body["engine_id"], body["request_id"], body["block_ids"])
-            return front.respond(start, 200 if digest else 404, {"digest": digest})
+            return http_server.respond(start, 200 if digest else 404, {"digest": digest})
         if path == "/kv/handshake":
-            return front.respond(
+            return http_server.respond(
                 start,
                 200,
                 {"engine_id": memory.engine, "agent": memory.token(), "block_len": 256, "base": 4096, "heads": 8},
             )
         if path == "/kv/free":
             good = memory.free(body["engine_id"], body["request_id"])
-            return front.respond(start, 200 if good else 404, {"freed": good})
+            return http_server.respond(start, 200 if good else 404, {"freed": good})
         if path == "/role":
             good = memory.order(body["role"], body["standing"], body["holder"], body["sequence"])
-            return front.respond(start, 200 if good else 409, {"standing": memory.standing})
+            return http_server.respond(start, 200 if good else 409, {"standing": memory.standing})
         if path == "/fault":
             return self.set_fault(body, start)
         if path in ("/v1/completions", "/v1/chat/completions"):
             return self.complete(path, environ, body, start)
-        return front.fault(start, 404, "no such path")
+        return http_server.error_response(start, 404, "no such path")
 
     def set_fault(self, body, start):
         """Take over what goes wrong from now on."""
@@ -74,11 +74,11 @@
                     held["born"] = -1e9
             memory.lapse()
         memory.fault = body
-        return front.respond(start, 200, {})
+        return http_server.respond(start, 200, {})
 
     def reject(self, start, request, reason, status=503, kind="busy"):
         """Refuse a request that has not run."""
-        return front.respond(
+        return http_server.respond(
             start,
             status,
             {"error": {"message": reason, "type": kind, "verdict": "not_run"}},
@@ -87,7 +87,7 @@
 
     def complete(self, path, environ, body, start):
         """Serve a prefill or a decode, by what the request says of its memory."""
-        headers = front.headers_of(environ)
+        headers = http_server.request_headers(environ)
         request, memory = headers.get("x-request-id", ""), self.memory
         caller = headers.get("x-caller-request-id", request)  # the books go by the user agent's id
         memory.callers[request] = caller
@@ -166,7 +166,7 @@
                 "200 OK", [("Content-Type", "application/json"), ("Content-Length", "5000"), ("X-Request-Id", request)]
             )
             return [json.dumps(said).encode()[:40]]
-        return front.respond(start, 200, said, [("X-Request-Id", request)])
+        return http_server.respond(start, 200, said, [("X-Request-Id", request)])
 
     def fetch(self, request, kv):
         """WAITING_FOR_REMOTE_KVS: handshake once per pair, then pull. None: the memory is gone."""
@@ -190,7 +190,7 @@
                 read=5.0,
             )
             return said["digest"] if status == 200 else None
-        except (web.WebFault, KeyError):
+        except (http_client.ExchangeError, KeyError):
             return None
 
     def decode(self, path, request, body, kv, sequence, start):
@@ -226,7 +226,7 @@
     parser.add_argument("--ledger")
     args = parser.parse_args()
     memory = replica_memory.Memory(environment_module.Tasks(), args.name, args.ledger)
-    front.Server(args.address, Replica(memory, args.address), THREADS).safe_start()
+    http_server.Server(args.address, Replica(memory, args.address), THREADS).safe_start()
 
 
 if __name__ == "__main__":
