--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -26,7 +26,9 @@
     """Member, log and disk all take a write after one that failed, in the same file."""
     with (
         unittest.mock.patch.object(member.Member, "fail_disk", lambda self, e: None),
-        unittest.mock.patch.object(disk_log.PartLog, "refusing_after_fault", lambda self: contextlib.nullcontext()),
+        unittest.mock.patch.object(
+            disk_log.PartLog, "refuse_writes_after_error", lambda self: contextlib.nullcontext()
+        ),
         unittest.mock.patch.object(disk.Disk, "check_usable", lambda self, name: None),
     ):
         yield
@@ -50,7 +52,7 @@
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
     self.drop_old_documents()
-    self.changed("stage", self.latest)
+    self.notify_change("stage", self.latest)
     return {"sequence": self.latest}
 
 
