--- a/mothshed/http/__init__.py
+++ b/mothshed/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards callers and towards replicas: fronts, bodies, headers, event streams, kept connections."""
+"""HTTP server for callers and HTTP clients for replicas: bodies, headers, event streams, connection pools."""
--- a/mothshed/http/caller.py
+++ b/mothshed/http/caller.py
@@ -1,9 +1,9 @@
-"""Who waits for a request's answer: whether it still does, and what ends when it leaves.
+"""The caller of a request: detects its disconnect and cancels the work for it.
 
-A caller has left once its side of the connection has ended, whatever it sent before: bytes
-beyond its request that nobody read don't make it present. The front's watcher looks at all
-connections that carry a request and cancels what is under way for those that have left; code
-that is about to begin something asks `has_disconnected` itself.
+A caller counts as disconnected once it has closed its side of the connection, even if unread
+bytes beyond its request are left in it. The server's monitor thread checks all connections
+that carry a request and cancels the work for disconnected callers; code that is about to start
+work calls `has_disconnected` itself.
 """
 
 import select
@@ -16,7 +16,7 @@
 
 
 def peer_closed(sock: socket.socket) -> bool:
-    """Whether the other side of a connection has ended it."""
+    """Return whether the peer has closed or reset a connection."""
     poller = select.poll()
     try:
         poller.register(sock, CLOSED_EVENTS | select.POLLIN)
@@ -29,28 +29,28 @@
 
 
 class Caller:
-    """The caller of one request. conn: the front's connection that carries it; none for a request of our own."""
+    """The caller of one request. conn: the server connection that carries it; None for an internal request."""
 
     def __init__(self, conn: typing.Any = None) -> None:
         self.conn = conn
         self.arrived: float | None = conn.arrived if conn is not None else None
         self.cancellation = cancellation.Cancellation()
         if conn is not None:
-            conn.caller = self  # from here on the watcher finds it
+            conn.caller = self  # lets the monitor thread cancel this request
             if conn.disconnected_at is not None:
                 self.cancellation.cancel()
 
     def close_after(self, moment: float) -> None:
-        """Past this moment, in seconds of the boot clock, the connection is shut, whoever stalls on it."""
+        """Have the connection shut down after this time of the boot clock, even if the response is still being sent."""
         if self.conn is not None:
             self.conn.deadline, self.conn.reading = moment, False
 
     def has_disconnected(self) -> bool:
-        """Whether nobody waits for the answer any more."""
+        """Return whether the caller no longer waits for the response."""
         if self.conn is None or self.cancellation.cancelled:
             return self.cancellation.cancelled
         return peer_closed(self.conn.socket)
 
     def disconnected_at(self) -> float | None:
-        """When it was first seen to have left, in seconds of the boot clock, or None."""
+        """Return when the disconnect was first detected, in seconds of the boot clock, or None."""
         return self.conn.disconnected_at if self.conn is not None else None
--- a/mothshed/http/connection_pool.py
+++ b/mothshed/http/connection_pool.py
@@ -1,12 +1,12 @@
-"""Kept connections towards replicas, for requests delivered as they come.
-
-A connection carries one exchange at a time and is kept for the next when its
-response came whole and neither side said close. One that has something to read
-after a response or while idle (an end, or bytes that belong to no request) is closed,
-not used. A fault before the writing proves that nothing was sent; on a reused
-connection as on a fresh one, any later fault proves nothing. Nothing is ever sent
-twice here, and two sends under one name never share a connection: a doubled answer to
-the first could not be told from the answer to the second.
+"""A pool of persistent connections to replicas, for requests with streamed responses.
+
+A connection carries one exchange at a time and is reused if the response was complete
+and neither side sent `Connection: close`. A connection with unread input after a response
+or while idle (an end of stream, or bytes that belong to no request) is closed instead. A
+failure before the write proves that nothing was sent; any later failure proves nothing, on
+a reused connection as on a new one. Nothing is retried here, and two sends with the same
+name never share a connection: a duplicate response to the first could not be told from the
+response to the second.
 """
 
 import collections
@@ -37,7 +37,7 @@
 
 
 def is_idle(conn):
-    """Whether an idle connection has neither ended nor said anything."""
+    """Return whether an idle connection is open and has no input."""
     if conn.sock is None:
         return False
     poller = select.poll()
@@ -46,7 +46,7 @@
 
 
 class Connection(urllib3.connection.HTTPConnection):
-    """A connection whose responses are of the class above."""
+    """A connection that uses the response class of mothshed.http.reply."""
 
     response_class = reply_module.Response
 
@@ -55,11 +55,11 @@
 
 
 class ConnectionPool:
-    """Idle connections by address, and the exchanges on them."""
+    """Idle connections by address, and the exchanges on pooled connections."""
 
     def __init__(self, now):
         self.now = now
-        self.idle = {}  # "ip:port" -> [Entry], the last used last
+        self.idle = {}  # "ip:port" -> [Entry], the most recently used last
         self.lock = threading.Lock()
         self.swept_at = now()
         self.opened_count = self.reused_count = 0
@@ -103,7 +103,7 @@
             entry[0].close()
 
     def expired(self, now: float) -> list[Entry]:
-        """Take out what rested past its time, to any address; under the lock."""
+        """Remove and return the expired connections of all addresses; the caller holds the lock."""
         closing = [entry for entries in self.idle.values() for entry in entries if entry[2] < now]
         remaining = {address: [entry for entry in entries if entry[2] >= now] for address, entries in self.idle.items()}
         self.idle = {address: entries for address, entries in remaining.items() if entries}
@@ -123,7 +123,7 @@
         return conn
 
     def check_connects(self, address):
-        """Raises ExchangeError if the replica takes no connection; one that it takes is kept."""
+        """Open a connection and keep it in the pool; raise ExchangeError if the replica does not accept it."""
         self.give_back(address, self.connect(address), {})
 
     def exchange(
@@ -139,10 +139,11 @@
         name=None,
         cancellation=None,
     ):
-        """One send; returns its Reply once the head has come. Raises ExchangeError.
+        """Send a request and return its Reply once the headers have arrived. Raises ExchangeError.
 
-        read_timeout_s: s until then. name: of the request, the same for each of its sends. cancellation:
-        what ends the exchange early, from the write until its Reply is whole or closed.
+        read_timeout_s: timeout until then. recent_only: reuse a connection only within the first half of its
+        keep-alive time. name: of the request, the same for each of its sends. cancellation: can abort the
+        exchange from the write until the Reply is complete or closed.
         """
         cancellation = cancellation or cancellation_module.Cancellation()
         conn = self.acquire(address, recent_only, name) or self.connect(address)
@@ -153,7 +154,7 @@
         conn.timeout = max(read_timeout_s, 0.01)
         conn.sock.settimeout(conn.timeout)
         try:
-            sock = conn.sock  # a response that ends with its connection takes it off conn
+            sock = conn.sock  # kept here: a response that ends with its connection removes it from conn
             cancellation.hold(sock)
             conn.request(method, target, body=body, headers=headers, preload_content=False, decode_content=False)
             raw = conn.getresponse()
--- a/mothshed/http/events.py
+++ b/mothshed/http/events.py
@@ -1,8 +1,8 @@
-"""A stream's bytes cut into whole events, each with its id.
+"""Splits the bytes of an event stream (SSE) into whole events with their ids.
 
-Only whole events are delivered, so that a stream taken up elsewhere goes on at a
-clean boundary. An event ends with an empty line; bytes after the last one are kept
-back until they are whole, and handed out as they are when the body ends.
+Only whole events are delivered, so that a stream can be resumed on another replica at
+an event boundary. An event ends with an empty line. An incomplete event is held back
+until its end arrives, and returned as it is when the body ends.
 
 >>> list(split_events([b"id: 1\\ndata: a\\n", b"\\nid: 2\\ndata: b\\n\\n", b"remainder"]))
 [(b'id: 1\\ndata: a\\n\\n', 1), (b'id: 2\\ndata: b\\n\\n', 2), (b'remainder', None)]
@@ -15,7 +15,8 @@
 
 
 def event_id(event):
-    """
+    """Return the numeric id of an event, or None.
+
     >>> event_id(b"data: x\\r\\nid:7\\r\\n\\r\\n")
     7
     """
--- a/mothshed/http/headers.py
+++ b/mothshed/http/headers.py
@@ -1,9 +1,9 @@
-"""Reads a request's head strictly: what two readers could read in two ways is refused.
+"""A strict parser of request headers: rejects ambiguous framing, which allows request smuggling.
 
-A length given twice or beside an encoding, an odd length, another encoding than
-chunked, folded lines, a space before the colon, and a carriage return or a zero byte
-within a line are a ValueError, which the server answers with 400 and an end of the
-connection. Other fields that come twice are kept, joined by a comma.
+A repeated Content-Length, one beside a Transfer-Encoding, one that is not a number, an
+encoding other than chunked, folded lines, a space before the colon, and a carriage return
+or a zero byte within a line raise ValueError; the server then responds with 400 and closes
+the connection. Other repeated fields are joined by a comma.
 """
 
 import socket
@@ -16,11 +16,11 @@
 
 SINGLE_FIELDS = {b"Content-Length", b"Transfer-Encoding", b"Host"}
 LINE_END = b"\r\n"
-FORBIDDEN_IN_LINE = (b"\r", b"\0")  # some readers take them for the end of a line or of the head
+FORBIDDEN_IN_LINE = (b"\r", b"\0")  # some parsers take them for the end of a line or of the headers
 
 
 class HeaderLines:
-    """A head's lines, each looked at before it is parsed."""
+    """The lines of the headers, each validated before it is parsed."""
 
     def __init__(self, file):
         self.file = file
@@ -36,13 +36,13 @@
 
 
 class HeaderFields(dict):
-    """Fields by name; one that comes twice is joined, or refused where only one may be."""
+    """Header fields by name; repeated fields are joined, or rejected if only one is allowed."""
 
     def __setitem__(self, name, value):
         earlier = self.get(name)
         if earlier is not None and name in SINGLE_FIELDS:
             raise ValueError("A field came twice that may come once.")
-        if earlier is not None and not value.startswith(earlier + b", "):  # else joined already
+        if earlier is not None and not value.startswith(earlier + b", "):  # otherwise the library has joined them
             value = earlier + b", " + value
         super().__setitem__(name, value)
 
@@ -64,7 +64,7 @@
     header_reader = StrictHeaderReader()
 
     def respond(self):
-        """As the library does, but with a strict reader of chunked bodies."""
+        """Respond as the library does, but read chunked bodies with the strict reader."""
         if not self.chunked_read:
             super().respond()
             return
@@ -76,7 +76,7 @@
             self.conn.wfile.write(b"0\r\n\r\n")
 
     def send_headers(self):
-        """A connection whose chunked body was not read to its end carries no further request."""
+        """Send the headers; close the connection later if a chunked body was not read to its end."""
         if self.chunked_read and not self.rfile.complete:
             self.close_connection = True
         super().send_headers()
@@ -89,7 +89,7 @@
 
 class Connection(cheroot.server.HTTPConnection):
     RequestHandlerClass = Request
-    discard_on_close = False  # the caller may have sent more than was read
+    discard_on_close = False  # there may be unread input
 
     def close(self):
         if self.discard_on_close:
@@ -97,7 +97,7 @@
         super().close()
 
     def discard_input(self):
-        """Reads away what still comes: closing over unread bytes resets the connection and loses the answer."""
+        """Discard further input before closing: unread bytes would reset the connection and lose the response."""
         deadline = clock.now() + constants.LINGER_TIMEOUT_S
         try:
             self.socket.shutdown(socket.SHUT_WR)
--- a/mothshed/http/http_client.py
+++ b/mothshed/http/http_client.py
@@ -1,10 +1,9 @@
-"""HTTP towards replicas and the platform, through urllib3.
+"""HTTP client for replicas and the platform, based on urllib3.
 
-A send uses a connection of its own and is never repeated by the library. The
-connection stands first; then `ready` is asked, so that the last check before a
-send is not followed by a wait; then it is written. A failure before the writing
-proves that nothing was sent; any later one proves nothing. Polls (conditions,
-lists) use kept connections.
+A send uses a new connection and is never retried by the library. The connection is
+opened first; then `ready` is called, so that no wait follows the last check before a
+send; then the request is written. A failure before the write proves that nothing was
+sent; any later failure proves nothing. Polls (conditions, lists) use pooled connections.
 """
 
 import http.client
@@ -20,7 +19,7 @@
 
 
 class ExchangeError(Exception):
-    """A call without a whole answer; `sent` is False only when proven."""
+    """An exchange without a complete response; `sent` is False only if provably nothing was sent."""
 
     def __init__(self, reason, sent):
         super().__init__(reason)
@@ -37,7 +36,7 @@
 
 
 def encode_json(body, headers):
-    """A JSON body and its headers as they are sent."""
+    """Encode a body as JSON; return it with the request headers."""
     data = None if body is None else json.dumps(body).encode()
     return data, {"content-type": "application/json", **headers}
 
@@ -57,7 +56,7 @@
             self.close()
 
     def lines(self):
-        """Whole lines as they come; a cut stream is a ExchangeError."""
+        """Yield whole lines as they arrive; raise ExchangeError if the stream is truncated."""
         remainder = b""
         try:
             for piece in self.raw.stream(None if self.raw.chunked else 1024):
@@ -94,9 +93,9 @@
         ready=lambda: True,
         cancellation=None,
     ):
-        """One send on a connection of its own; whoever sent closes the response.
+        """Send one request on a new connection; the sender must close the response.
 
-        cancellation: what ends it early, from the write until the response is closed.
+        cancellation: can abort the exchange from the write until the response is closed.
         """
         cancellation = cancellation or cancellation_module.Cancellation()
         data, headers = encode_json(body, {"connection": "close", **(headers or {})})
@@ -121,7 +120,7 @@
             raise ExchangeError(f"{type(error).__name__}: {error}", True) from error
 
     def poll(self, method, url, body=None, headers=None, read=constants.PROBE_TIMEOUT_S):
-        """A small exchange on a kept connection: (status, JSON body)."""
+        """Run a small exchange on a pooled connection; return (status, JSON body)."""
         data, headers = encode_json(body, headers or {})
         try:
             raw = self.pools.request(
--- a/mothshed/http/http_server.py
+++ b/mothshed/http/http_server.py
@@ -1,8 +1,8 @@
-"""HTTP fronts on cheroot: a WSGI server and the answers every front gives.
+"""The HTTP server on cheroot (WSGI) and the responses common to all its applications.
 
-Answers are whole JSON with their length, or streams of events. A stream that
-fails raises inside the server, which then closes the connection without the last
-chunk: the user agent sees it broken.
+Responses are JSON with a Content-Length, or event streams. A stream that fails raises
+within the server, which then closes the connection without the last chunk, so that the
+user agent detects the truncated response.
 """
 
 import collections.abc
@@ -51,12 +51,12 @@
 
 
 def status_line(status: int) -> str:
-    """The status as WSGI wants it: number and reason."""
+    """Return the WSGI status line: status code and reason phrase."""
     return f"{status} {STATUS[status]}"
 
 
 def respond(start: StartResponse, status: int, body: typing.Any, headers: HeaderRows = ()) -> list[bytes]:
-    """A whole response: bytes as text, anything else as JSON."""
+    """Respond with a complete body: bytes as plain text, anything else as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     content_type = "text/plain" if isinstance(body, bytes) else "application/json"
     start(status_line(status), [("Content-Type", content_type), ("Content-Length", str(len(data))), *headers])
@@ -72,37 +72,37 @@
     headers: HeaderRows = (),
     **fields: typing.Any,
 ) -> list[bytes]:
-    """A failure as JSON. retry_after_s: seconds after which to come back, told in Retry-After if it is not 0."""
+    """Respond with an error as JSON. retry_after_s: sent as Retry-After unless it is 0."""
     headers = list(headers) + ([("Retry-After", str(retry_after_s))] if retry_after_s else [])
     error = {"message": reason, "verdict": verdict, **fields}
     return respond(start, status, {"error": error}, headers)
 
 
 def request_headers(environ: Environ) -> dict[str, str]:
-    """The request's headers by lower-case name."""
+    """Return the request headers by lower-case name."""
     return {k[5:].replace("_", "-").lower(): v for k, v in environ.items() if k.startswith("HTTP_")}
 
 
 class BodyError(Exception):
-    """A request body that is not taken; the connection ends with the answer."""
+    """A request body that is rejected; the connection is closed after the response."""
 
     status, reason = 400, "the body is shorter than its length says"
 
 
 class FramingError(BodyError):
-    """A chunked body that does not follow its framing."""
+    """A chunked body with malformed chunks."""
 
     reason = "the body's chunks are malformed"
 
 
 class BodyTooLargeError(BodyError):
-    """A request body over the limit."""
+    """A request body above the size limit."""
 
     status, reason = 413, "the body is too long"
 
 
 def read_body(environ: Environ, limit: int = constants.MAX_BODY_BYTES) -> bytes:
-    """The whole body, at most so many bytes; raises BodyError."""
+    """Read the whole body, up to limit bytes; raises BodyError."""
     size = environ.get("CONTENT_LENGTH")
     if size:
         if int(size) > limit:
@@ -115,7 +115,7 @@
         return b""
     try:
         data = environ["wsgi.input"].read(limit + 1)
-    except chunked.ChunkError as error:
+    except chunked.BadChunk as error:
         raise FramingError() from error
     if len(data) > limit:
         raise BodyTooLargeError()
@@ -123,21 +123,21 @@
 
 
 class Gateway(cheroot.wsgi.Gateway_10):
-    """The library's gateway, which also hands an application its caller and the headers as they came."""
+    """The library's gateway, which also passes the caller and the original headers to the application."""
 
     def get_environ(self) -> Environ:
-        """WSGI's environment with `mothshed.caller` (Caller) and `mothshed.headers` (name -> text)."""
+        """Return the WSGI environment with `mothshed.caller` (Caller) and `mothshed.headers` (name -> text)."""
         raw = {k.decode("latin-1"): v.decode("latin-1") for k, v in self.req.inheaders.items()}
         return {**super().get_environ(), "mothshed.caller": caller.Caller(self.req.conn), "mothshed.headers": raw}
 
 
 class Server(cheroot.wsgi.Server):
-    """A cheroot server that keeps its troubles in the log buffer and lets nobody hold its threads.
+    """A cheroot server that logs to the log buffer and protects its threads from slow clients.
 
-    A connection gets a thread once it says something, not before. From then on it is
-    watched: a request that does not come whole within REQUEST_READ_TIMEOUT_S, sooner while no thread
-    is free, or an answer not taken by its cutoff, shuts the connection. Threads are
-    started as they are needed, and end when they rest: `threads` is how many there may be.
+    A connection gets a thread only once it has input. From then on it is monitored: it is shut
+    down if its request is not complete within REQUEST_READ_TIMEOUT_S (less while no thread is
+    idle), or if its response is not read by its cutoff. Threads are started on demand and ended
+    when idle; `threads` is their maximum.
     """
 
     def __init__(self, address: str, app: typing.Any, threads: int) -> None:
@@ -160,21 +160,21 @@
         threading.Thread(target=self.monitor_connections, name="lines", daemon=True).start()
 
     def prepare(self) -> None:
-        """Listen; idle connections are kept by our own limits from then on."""
+        """Start listening; IdleConnections replaces the library's connection manager."""
         super().prepare()
         self._connections._selector.close()
         self._connections = idle.IdleConnections(self)
 
     def set_idle_limit(self, seconds: float) -> None:
-        """How long an idle connection may rest from now on; a longer limit before it runs out first."""
+        """Set the idle timeout of connections; a longer previous one stays valid for its duration."""
         self.idle_limit.change(seconds, clock.now())
 
     def has_active_exchange(self) -> bool:
-        """Whether a request is arriving, being served, or its answer not wholly written."""
+        """Return whether a request is being received or served, or its response is not fully written."""
         return any(conn.socket.fileno() >= 0 for conn in list(self.active_connections))
 
     def process_conn(self, conn: typing.Any) -> None:
-        """Give a connection that says something to a thread; one just accepted waits until it does."""
+        """Pass a connection with input to a thread; a newly accepted one waits for its first input."""
         if not hasattr(conn, "arrived"):  # just accepted
             conn.arrived = conn.deadline = conn.disconnected_at = conn.caller = None
             self.put_conn(conn)
@@ -185,13 +185,13 @@
         super().process_conn(conn)
 
     def put_conn(self, conn: typing.Any) -> None:
-        """Take a connection back whose exchange is over: it rests until its caller says something more."""
+        """Put a connection back after its exchange; it is idle until its next input."""
         conn.deadline = None
         self.active_connections.discard(conn)
         super().put_conn(conn)
 
     def monitor_connections(self) -> None:
-        """Look over the connections in use while the process lives; what fails once is noted and tried again."""
+        """Check the active connections until the process ends; a failed check is logged and repeated."""
         while True:
             time.sleep(constants.CONNECTION_CHECK_INTERVAL_S)
             try:
@@ -202,9 +202,9 @@
                 log_buffer.failure("watch_failed", error)
 
     def adjust_thread_count(self, now: float) -> None:
-        """Start some threads while few are idle, and end some once many were idle for long.
+        """Start threads while few are idle, and end some after many have been idle for a while.
 
-        The library keeps to the fewest and the most there may be.
+        The library enforces the minimum and the maximum number of threads.
         """
         if not self.ready:
             return
@@ -218,22 +218,18 @@
             self.many_idle_since = now
 
     def close_overdue_connections(self, now: float) -> None:
-        """Shut connections whose request does not come, or whose answer is not taken, in time."""
-        no_idle_thread = not self.requests.idle
+        """Shut down connections whose request is not received, or whose response is not read, in time."""
+        busy = not self.requests.idle
         for conn in list(self.active_connections):
-            deadline = (
-                conn.arrived + constants.CROWDED_REQUEST_READ_TIMEOUT_S
-                if no_idle_thread and conn.reading
-                else conn.deadline
-            )
+            until = conn.arrived + constants.CROWDED_REQUEST_READ_TIMEOUT_S if busy and conn.reading else conn.deadline
             if conn.socket.fileno() < 0:
                 self.active_connections.discard(conn)
-            elif deadline is not None and now > deadline:
+            elif until is not None and now > until:
                 self.active_connections.discard(conn)
                 cancellation.shut_down(conn.socket)
 
     def cancel_disconnected(self, now: float) -> None:
-        """Cancel what is under way for callers that have hung up; one look at all connections."""
+        """Cancel the requests of callers that have disconnected, with one poll of all connections."""
         poller, by_descriptor = select.poll(), {}
         for conn in list(self.active_connections):
             descriptor = conn.socket.fileno()
@@ -247,5 +243,5 @@
                 conn.caller.cancellation.cancel()
 
     def error_log(self, msg: str = "", level: int = 20, traceback: bool = False) -> None:
-        """Keep what the library says of its troubles in the log buffer."""
+        """Keep the library's log messages in the log buffer."""
         log_buffer.note("http_server", message=msg)
--- a/mothshed/http/idle.py
+++ b/mothshed/http/idle.py
@@ -1,9 +1,9 @@
-"""Idle connections of callers: how long they may rest, and when they are closed.
+"""Idle client connections: the idle timeout and its expiry.
 
-A caller may take up a connection for as long as the limit it knows allows. When the
-limit becomes shorter, the longer one therefore holds on for its own span. Ages are
-read off the monotonic clock: a step of the wall clock ends no connection. One that
-has something to read is never closed here: its request is served.
+A client may reuse a connection for as long as the timeout it knows of allows. After the
+timeout is shortened, the longer one therefore stays valid for its own duration. Ages are
+measured on the boot clock, so that a change of the wall clock closes no connection. A
+connection with unread input is never closed here: its request is served.
 """
 
 import select
@@ -15,11 +15,11 @@
 
 
 class IdleLimit:
-    """The idle time callers may count on, in seconds, through its changes."""
+    """The idle timeout that clients may rely on, in seconds, across its changes."""
 
     def __init__(self, seconds):
         self.current = seconds
-        self.former = []  # (seconds, until when it still holds)
+        self.former = []  # (seconds, valid until)
 
     def change(self, seconds, now):
         if seconds != self.current:
@@ -32,21 +32,21 @@
 
 
 def has_input(sock):
-    """Whether a socket has bytes, an end or a fault to read."""
+    """Return whether a socket has bytes, an end of stream or an error to read."""
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(0))
 
 
 class IdleConnections(cheroot.connections.ConnectionManager):
-    """The library's selector of idle connections, with an expiry of our own."""
+    """The library's connection manager with its own expiry of idle connections."""
 
     def put(self, conn):
         conn.idle_since = clock.now()
         super().put(conn)
 
     def _expire(self, threshold):
-        """Closes what rested for the whole limit and a margin; the library's threshold is not used."""
+        """Close connections idle for longer than the timeout and a margin; the library's threshold is ignored."""
         now = clock.now()
         oldest_kept = now - self.server.idle_limit.longest(now) - constants.IDLE_CLOSE_MARGIN_S
         for descriptor, conn in list(self._selector.connections):
--- a/mothshed/http/reply.py
+++ b/mothshed/http/reply.py
@@ -1,6 +1,6 @@
-"""A replica's response: a head that says where its body ends, and a body read as it comes.
+"""A replica's response: headers with an unambiguous body length, and a body that is streamed.
 
-What is cut off, framed in two ways or longer than it says never looks whole: it raises ExchangeError.
+A response that is truncated, ambiguously framed or longer than declared never counts as complete.
 """
 
 import collections.abc
@@ -20,7 +20,7 @@
 
 
 class Response(http.client.HTTPResponse):
-    """A response that notices bytes beyond its end, which the library would drop with its buffer."""
+    """A response that detects bytes after its end, which the library would drop with its buffer."""
 
     has_surplus = False
 
@@ -29,13 +29,13 @@
             file = self.fp
             file.raw._sock.settimeout(0)
             self.has_surplus = bool(file.peek(1))
-        except (OSError, ValueError, AttributeError):  # it has ended already
+        except (OSError, ValueError, AttributeError):  # the connection is already closed
             pass
         super()._close_conn()
 
 
 def check_framing(raw: urllib3.BaseHTTPResponse) -> None:
-    """Raises ExchangeError unless the head says in one clear way where its body ends."""
+    """Raise ExchangeError unless the headers determine the end of the body unambiguously."""
     lengths = raw.headers.getlist("content-length")
     codings = [coding.lower() for coding in raw.headers.getlist("transfer-encoding")]
     if raw.status < 200:
@@ -49,7 +49,7 @@
 
 
 class Reply:
-    """A replica's response: status, headers, and a body read as it comes."""
+    """A replica's response: status, headers and a streamed body."""
 
     def __init__(
         self,
@@ -66,19 +66,19 @@
         self.complete = False
 
     def set_timeout(self, timeout_s: float) -> None:
-        """Seconds the next reads wait, each.
+        """Set the timeout of each following read, in seconds.
 
-        Once the body is whole its socket is closed, or serves another exchange: it is left alone.
+        Does nothing once the body is complete: its socket is then closed or used by another exchange.
         """
         if not self.conn or self.sock.fileno() < 0:
             return
         try:
             self.sock.settimeout(max(timeout_s, 0.01))
-        except OSError as error:  # it has ended already
+        except OSError as error:  # the socket is already closed
             raise http_client.ExchangeError(f"body: {error}", True) from error
 
     def pieces(self) -> collections.abc.Iterator[bytes]:
-        """Bytes as they come; ends only when the body is whole, else raises ExchangeError."""
+        """Yield bytes as they arrive; raise ExchangeError unless the body is complete at its end."""
         try:
             if self.raw.chunked:
                 yield from self.chunks()
@@ -97,14 +97,14 @@
         self.finish()
 
     def chunks(self) -> collections.abc.Iterator[bytes]:
-        """The pieces of a chunked body; the library's own reader takes what is no chunk for one."""
+        """Yield the pieces of a chunked body; the library's own reader accepts invalid chunks."""
         body = chunked.ChunkedBody(self.raw._fp.fp)
         while piece := body.read1(constants.SOCKET_READ_BYTES):
             yield piece
         self.raw._fp.close()
 
     def all(self, limit: int = constants.MAX_BODY_BYTES) -> bytes:
-        """The whole body at once; longer than limit is a ExchangeError."""
+        """Read the whole body; raise ExchangeError if it is longer than limit bytes."""
         pieces, size = [], 0
         for piece in self.pieces():
             pieces.append(piece)
@@ -115,15 +115,15 @@
         return b"".join(pieces)
 
     def finish(self) -> None:
-        """The body is whole: its connection may carry the next exchange."""
+        """Return the connection to the pool after a complete body, for the next exchange."""
         if self.conn:
             self.complete, conn, self.conn = True, self.conn, None
-            self.cancellation.release()  # one that came before has ended the connection: it is not used again
+            self.cancellation.release()  # an earlier cancellation has shut down the connection: it is not reused
             has_surplus = self.raw._original_response.has_surplus
             self.pool.give_back(self.address, conn, {"connection": "close"} if has_surplus else self.headers)
 
     def close(self) -> None:
-        """Ends the exchange where it stands; a replica at work sees it broken off."""
+        """Abort the exchange; a replica that still works on it sees the connection close."""
         if self.conn:
             conn, self.conn = self.conn, None
             self.cancellation.release()
--- a/mothshed/runtime/__init__.py
+++ b/mothshed/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every process needs: clock, timers, mailbox, cancellation, log buffer, journal, counters, state charts."""
+"""Runtime parts of every process: clock, timers, mailbox, cancellation, logs, journal, counters, state charts."""
--- a/mothshed/runtime/cancellation.py
+++ b/mothshed/runtime/cancellation.py
@@ -1,8 +1,8 @@
-"""Ends the exchange that a request waits for, from another thread.
+"""Cancels the blocking exchange of a request from another thread.
 
-A thread that waits on a socket can't look at anything else meanwhile. It holds the socket here
-first; cancelling shuts that socket down, so that the wait ends at once with an error and the
-other side sees the connection end.
+A thread that blocks on a socket can't check anything else. It therefore registers the socket here
+first; cancelling shuts that socket down, so that the blocking call returns at once with an error
+and the peer sees the connection end.
 """
 
 import socket
@@ -10,7 +10,7 @@
 
 
 class Cancellation:
-    """One request's: what it waits on now, and whether it is to wait no more. Never undone."""
+    """The cancellation of one request and the socket it blocks on now. A cancellation can't be undone."""
 
     def __init__(self) -> None:
         self.cancelled = False
@@ -18,19 +18,19 @@
         self.held: socket.socket | None = None
 
     def hold(self, sock: socket.socket) -> None:
-        """This socket is waited on from now on; after a cancellation it is shut down at once."""
+        """Register the socket that is about to block; it is shut down at once if already cancelled."""
         with self.lock:
             self.held = sock
             if self.cancelled:
                 shut_down(sock)
 
     def release(self) -> None:
-        """Nothing is waited on any more; a later cancellation leaves the socket alone."""
+        """Unregister the socket; a later cancellation does not touch it."""
         with self.lock:
             self.held = None
 
     def cancel(self) -> None:
-        """End the wait under way, if there is one, and every later one."""
+        """Shut down the registered socket, if there is one, and every socket registered later."""
         with self.lock:
             self.cancelled = True
             if self.held is not None:
@@ -38,7 +38,7 @@
 
 
 def shut_down(sock: socket.socket) -> None:
-    """Shut both directions down; a socket that has ended already is left as it is."""
+    """Shut down both directions; does nothing if the socket is already closed."""
     try:
         sock.shutdown(socket.SHUT_RDWR)
     except OSError:
--- a/mothshed/runtime/charts.py
+++ b/mothshed/runtime/charts.py
@@ -1,9 +1,9 @@
-"""State charts: read from files and interpreted here.
+"""State machines that are defined in JSON files (state charts).
 
-A chart file names its states, the first one, and for each event the states it
-may come in and the state it leads to. Code holds a Chart and steps it; an event
-that the file does not allow in the current state raises, so a wrong order of
-steps fails loudly instead of passing by.
+A chart file lists the states, the initial state and, for each event, the states in
+which it is allowed and the state it leads to. Code creates a Chart and steps it. An
+event that is not allowed in the current state raises ChartError, so that steps in a
+wrong order are not missed.
 
 >>> chart = load("request")
 >>> chart.step("admit"); chart.state
@@ -11,7 +11,7 @@
 >>> chart.step("relay")
 Traceback (most recent call last):
 ...
-mothshed.runtime.charts.ChartError: request: no 'relay' in state 'admitted'
+mothshed.runtime.charts.ChartError: request: event 'relay' is not allowed in state 'admitted'
 """
 
 import functools
@@ -20,7 +20,7 @@
 
 
 class ChartError(Exception):
-    """An event that the chart does not allow."""
+    """An event that the chart does not allow in its current state."""
 
 
 @functools.lru_cache
@@ -30,7 +30,7 @@
     for event, transitions in definition["events"].items():
         for source, target in transitions.items():
             if source not in definition["states"] or target not in definition["states"]:
-                raise ChartError(f"{name}: {event} names an unknown state")
+                raise ChartError(f"{name}: event {event!r} refers to an unknown state")
     return definition
 
 
@@ -43,7 +43,7 @@
     def step(self, event):
         transitions = self.definition["events"].get(event, {})
         if self.state not in transitions:
-            raise ChartError(f"{self.name}: no {event!r} in state {self.state!r}")
+            raise ChartError(f"{self.name}: event {event!r} is not allowed in state {self.state!r}")
         self.state = transitions[self.state]
 
 
--- a/mothshed/runtime/clock.py
+++ b/mothshed/runtime/clock.py
@@ -4,5 +4,5 @@
 
 
 def now() -> float:
-    """Seconds since boot; the machine's sleep counts, a step of the time of day does not."""
+    """Seconds since boot, including time suspended; unaffected by changes of the wall clock."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/mothshed/runtime/counters.py
+++ b/mothshed/runtime/counters.py
@@ -1,4 +1,4 @@
-"""A process's own counters, reported in one line from time to time while they change."""
+"""Reports the counters of a process in one log line per interval while they change."""
 
 import collections.abc
 import typing
@@ -11,9 +11,9 @@
 
 
 class CountersReport:
-    """Reports what was added to the totals since the last line; nothing while nothing changes.
+    """Reports the increments of the totals since the last line; writes no line without increments.
 
-    gauges: what the process holds now; it stands in the line as it is.
+    gauges: returns the current values of the process, which are added to each line.
     """
 
     def __init__(self, timers: typing.Any, totals: journal.Totals, gauges: ReadGauges = dict) -> None:
@@ -21,18 +21,18 @@
         self.reported: dict[str, int] = {}
 
     def run(self) -> None:
-        """Begin; the next line is due after one interval."""
+        """Start the reports; the first one is due after one interval."""
         self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.report_changes)
 
     def report_changes(self) -> None:
-        """Report what changed, and come again."""
+        """Report the increments, if any, and schedule the next report."""
         increments = self.take_increments()
         if increments:
             log_buffer.report("counters", **increments, **self.gauges())
         self.timers.call_later(constants.COUNTERS_INTERVAL_S, self.report_changes)
 
     def take_increments(self) -> dict[str, int]:
-        """Counter -> how much it grew since this was asked last."""
+        """Return the increment of each changed counter since the last call, by name."""
         counts = dict(self.totals.counts)
         grown = {name: count - self.reported.get(name, 0) for name, count in counts.items()}
         self.reported = counts
--- a/mothshed/runtime/decaying_sums.py
+++ b/mothshed/runtime/decaying_sums.py
@@ -1,4 +1,4 @@
-"""Sums that fade: each amount counts half after a half-life, so that they tell of the latest time only."""
+"""Exponentially decaying sums: an amount counts half after each half-life, so that recent ones dominate."""
 
 import collections.abc
 import threading
@@ -9,7 +9,7 @@
 
 
 class DecayingSums:
-    """Amounts of a few kinds, added up by name. A name that faded away is forgotten.
+    """Decaying sums of several kinds of amounts by name. Names whose sums have decayed are dropped.
 
     >>> clock = [0.0]
     >>> sums = DecayingSums(lambda: clock[0], half_life_s=2.0, kinds=2)
@@ -24,10 +24,10 @@
         self.half_life_s = half_life_s
         self.zeros: Amounts = (0.0,) * kinds
         self.lock = threading.Lock()
-        self.sums: dict[str, tuple[float, Amounts]] = {}  # name -> (when summed, sums)
+        self.sums: dict[str, tuple[float, Amounts]] = {}  # name -> (time of the sums, sums)
 
     def add(self, name: str, *amounts: float) -> None:
-        """Add an amount of each kind under a name."""
+        """Add one amount of each kind to the sums of a name."""
         with self.lock:
             if name not in self.sums:
                 self._forget_decayed()
@@ -35,7 +35,7 @@
             self.sums[name] = (self.now(), added)
 
     def of(self, name: str) -> Amounts:
-        """The sums of a name as of now."""
+        """Return the sums of a name, decayed to the current time."""
         with self.lock:
             return self._decayed(name)
 
--- a/mothshed/runtime/journal.py
+++ b/mothshed/runtime/journal.py
@@ -1,9 +1,8 @@
-"""A journal in memory and the views folded from it.
+"""An in-memory event journal and the views derived from it.
 
-Inside a process what happened is appended as an event, and everything that
-decisions read is a view folded from those events in order. The journal keeps
-the latest events, which the log buffer writes out when something goes wrong; views
-keep what they folded.
+Events in a process are appended to its journal, and the state that decisions read is
+a view that folds these events in order. The journal keeps only the latest events, which
+the log buffer writes out after a failure; views keep their state.
 
 >>> journal = Journal()
 >>> view = journal.view(SumView())
@@ -20,7 +19,7 @@
 
 
 class SumView:
-    """The doctest's view: adds up what was sent."""
+    """A view for the doctest: the sum of `n` over all events."""
 
     def __init__(self):
         self.sent = 0
@@ -49,7 +48,7 @@
                 view.fold(kind, event)
 
     def unwritten_events(self):
-        """The events not handed out before, oldest first: [(kind, event)]."""
+        """Return the events that no earlier call returned, oldest first: [(kind, event)]."""
         with self.lock:
             rows = list(itertools.takewhile(lambda row: row is not self.last_returned, reversed(self.events)))
             self.last_returned = rows[0] if rows else self.last_returned
@@ -57,7 +56,7 @@
 
 
 class Totals:
-    """Counters for the metrics page: one per event kind and outcome."""
+    """Counters for the metrics page: one per event kind, and one per kind and outcome."""
 
     def __init__(self):
         self.counts = collections.Counter()
@@ -68,6 +67,6 @@
             self.counts[f"{kind}_{event['outcome']}"] += 1
 
     def text(self, gauges):
-        """The page: each counter, and what the process holds now (name -> number)."""
+        """Return the metrics page: all counters and the gauges of the process (name -> value)."""
         counted = "".join(f"mothshed_{name}_total {count}\n" for name, count in sorted(self.counts.items()))
         return counted + "".join(f"mothshed_process_{name} {value}\n" for name, value in sorted(gauges.items()))
--- a/mothshed/runtime/log_buffer.py
+++ b/mothshed/runtime/log_buffer.py
@@ -1,13 +1,14 @@
-"""The log buffer: eliot messages kept in memory, written out when something goes wrong.
-
-In ordinary running only rare changes of state are written as they happen (`report`): who leads
-a part, who votes in it, when leases were missing, what a process had counted. All else stays in
-memory. `failure` records a failure and writes the whole buffer, as JSON lines, to the place
-named at start (a file or standard error), at most once in a few seconds so that a storm
-stays readable.
-The events of the process's journal that were not written before go out with it.
-Their moments count since boot; a message before them, `journal_written`, bears such
-a moment (`at`) beside the log library's own, and by it `mothshed logs` sets them in.
+"""The log buffer: keeps eliot messages in memory and writes them out after a failure.
+
+In normal operation only rare state changes are written at once (`report`): the leader and the
+voters of a part, missing leases, the counters of a process. All other messages stay in memory.
+`failure` records a failure and writes the whole buffer as JSON lines to the file given at start
+or to standard error, at most once every few seconds so that the log stays readable when many
+failures occur.
+Events of the process's journal that were not yet written are written with the buffer.
+Their timestamps count from boot. The message `journal_written` before them carries the
+same moment as a boot time (`at`) and as the log library's timestamp, from which
+`mothshed logs` computes the wall-clock time of these events.
 """
 
 import collections
@@ -29,7 +30,7 @@
 
 
 class RateLimiter:
-    """How many lines may still be reported now: a storm of changes must not cost its process the time to serve.
+    """A token bucket that limits the log lines, so that many changes at once don't slow down their process.
 
     >>> limiter = RateLimiter(2, per_second=1.0)
     >>> [limiter.take(at) for at in (0.0, 0.0, 0.0, 1.0, 1.5)]
@@ -41,7 +42,7 @@
         self.available, self.updated_at = float(burst), 0.0
 
     def take(self, now: float) -> bool:
-        """Whether one more line may be written at this moment, in seconds."""
+        """Return whether one more line may be written at this time, in seconds; if so, count it."""
         self.available = min(float(self.burst), self.available + (now - self.updated_at) * self.per_second)
         self.updated_at = now
         if self.available < 1.0:
@@ -54,7 +55,7 @@
 
 
 def handle_message(message: dict[str, typing.Any]) -> None:
-    """Take a message of the log library: into memory, or out at once if it is a report within the rate limit."""
+    """Keep a message of the log library in memory, or write it at once if it is a report within the rate limit."""
     if not message.pop("report", False):
         MESSAGES.append(message)
         return
@@ -67,7 +68,7 @@
 
 
 def start(name: str, path: str | None = None) -> None:
-    """Name the process in its log lines, and write them to this file from now on; standard error without one."""
+    """Set the process name of the log lines and the file they are written to; standard error if there is none."""
     STATE.update(name=name, path=path)
     if not STATE["on"]:
         STATE["on"] = True
@@ -75,7 +76,7 @@
 
 
 def attach_journal(journal: typing.Any) -> None:
-    """The journal's events are written out with the log buffer from now on."""
+    """Write the events of this journal with the log buffer from now on."""
     JOURNALS.append(journal)
 
 
@@ -85,20 +86,20 @@
 
 
 def report(kind: str, **fields: object) -> None:
-    """Write a rare change of state at once; beyond the rate limit it is kept in memory like a note."""
+    """Write a rare state change at once; above the rate limit it is kept in memory like a note."""
     note(kind, report=True, **fields)
 
 
 def report_limited(limiter: RateLimiter, kind: str, **fields: object) -> None:
-    """Report what a rate limiter of its own lets through; the rest is kept in memory.
+    """Report within a separate rate limit; messages above it are kept in memory.
 
-    Many changes of one kind then leave the lines of all other kinds alone.
+    Many changes of one kind then don't use up the rate limit of the other kinds.
     """
     note(kind, report=limiter.take(time.monotonic()), **fields)
 
 
 def failure(kind: str, error: BaseException | None = None, **fields: typing.Any) -> None:
-    """Keep a failure, and write all that is in memory unless that was done in the last seconds."""
+    """Record a failure, and write the buffer unless it was written within the last 5 seconds."""
     if error is not None:
         fields["error"] = "".join(traceback.format_exception(error))
     note(kind, trouble=True, **fields)
@@ -110,7 +111,7 @@
 
 
 def write() -> None:
-    """Write and forget all that is in memory, with the journals' events that were not written before."""
+    """Write and clear the messages in memory, with the journal events that were not yet written."""
     events = [{"message_type": kind, **event} for journal in JOURNALS for kind, event in journal.unwritten_events()]
     if events:
         note("journal_written", at=JOURNALS[0].now(), events=len(events))
@@ -120,12 +121,12 @@
 
 
 def json_line(row: dict[str, object]) -> str:
-    """One row of the log as a JSON line."""
+    """Return one log message as a JSON line with the process name."""
     return json.dumps({**row, "process": STATE["name"]}, default=str) + "\n"
 
 
 def write_text(text: str) -> None:
-    """Append lines to the log buffer's file, or to standard error."""
+    """Append lines to the log file, or to standard error if there is none."""
     if STATE["path"]:
         with open(STATE["path"], "a") as file:
             file.write(text)
--- a/mothshed/runtime/timers.py
+++ b/mothshed/runtime/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a process: one thread posts each callback when it is due."""
+"""Timers of a process: one thread posts each callback to a mailbox when it is due."""
 
 import collections.abc
 import heapq
@@ -13,13 +13,13 @@
 
 
 class Timer:
-    """A callback that is due once; it may be cancelled until it runs."""
+    """A one-shot timer that can be cancelled until its callback runs."""
 
     def __init__(self, call: Callback) -> None:
         self.call: Callback | None = call
 
     def cancel(self) -> None:
-        """The callback does not run any more."""
+        """Prevent the callback from running."""
         self.call = None
 
     def fire(self) -> None:
@@ -29,7 +29,7 @@
 
 
 class Timers:
-    """One thread that posts each timer when it is due."""
+    """The timers of a process and the thread that posts them when they are due."""
 
     def __init__(self) -> None:
         self.heap: list[tuple[float, int, Post, Timer]] = []
@@ -38,7 +38,7 @@
         threading.Thread(target=self.run, name="timers", daemon=True).start()
 
     def add(self, delay: float, post: Post, call: Callback) -> Timer:
-        """post(call) once, so many seconds from now."""
+        """Post a callback once after a delay in seconds."""
         timer = Timer(call)
         with self.changed:
             heapq.heappush(self.heap, (clock.now() + delay, next(self.count), post, timer))
@@ -46,7 +46,7 @@
         return timer
 
     def run(self) -> None:
-        """Post what is due, for as long as the process lives."""
+        """Post timers as they become due, until the process ends."""
         while True:
             with self.changed:
                 while not self.heap or self.heap[0][0] > clock.now():
--- a/mothshed/runtime/waker.py
+++ b/mothshed/runtime/waker.py
@@ -1,4 +1,4 @@
-"""A pipe that wakes a thread out of its selector."""
+"""A self-pipe that wakes a thread from its selector."""
 
 import os
 
@@ -6,7 +6,7 @@
 
 
 class Waker:
-    """reader is what the thread's selector watches; any thread may wake it."""
+    """The thread's selector watches `reader`; any other thread may call `wake`."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
@@ -14,17 +14,17 @@
         os.set_blocking(self.writer, False)
 
     def wake(self) -> None:
-        """Make the reader readable."""
+        """Make `reader` readable."""
         try:
             os.write(self.writer, b".")
         except OSError:
-            pass  # the pipe is full, so the thread is about to wake; or it has ended
+            pass  # the pipe is full, so the thread is about to wake, or the pipe is closed
 
     def clear(self) -> None:
-        """Take what woke the thread."""
+        """Drain the pipe after a wake-up."""
         os.read(self.reader, constants.SOCKET_READ_BYTES)
 
     def close(self) -> None:
-        """Let go of the pipe."""
+        """Close both ends of the pipe."""
         os.close(self.reader)
         os.close(self.writer)
--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -24,7 +24,7 @@
         try:
             url = f"http://{fleet.settings[name]['http']}/configuration"
             responses.append(fleet.ops.web.send("PATCH", url, body, read=1.0).status)
-        except sim.network.web.ExchangeError:
+        except sim.network.http_client.ExchangeError:
             responses.append(0)
 
     fleet.operator(call)
--- a/tools/simulator/operator_client.py
+++ b/tools/simulator/operator_client.py
@@ -24,7 +24,7 @@
                     url = response.headers.get("location")
                 if status not in (503, 307):
                     return status, said
-            except network.web.ExchangeError:
+            except network.http_client.ExchangeError:
                 pass
             self.environment.sleep(0.4)
         return 0, {}
