--- a/mothshed/control_plane/keeper.py
+++ b/mothshed/control_plane/keeper.py
@@ -116,9 +116,8 @@
             try:
                 self.disk.put("probe", b".")
                 self.reopen_parts()
-            except (
-                disk_module.DiskCorruptionError
-            ) as error:  # not recoverable by waiting: an operator must wipe the folder
+            except disk_module.DiskCorruptionError as error:
+                # not recoverable by waiting: an operator must wipe the folder
                 log_buffer.failure("disk_damaged", error)
                 return
             except disk_module.DiskError as error:
--- a/mothshed/storage/__init__.py
+++ b/mothshed/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Files that survive a crash: the data folder, and the log of a part."""
+"""Crash-safe storage: the data folder, and the replicated log of a part."""
--- a/mothshed/storage/disk.py
+++ b/mothshed/storage/disk.py
@@ -1,12 +1,12 @@
 """Durable files in one data folder. Bytes are durable only once `sync` or `put` has returned.
 
-`put` replaces a whole file atomically: written under a temporary name, synced,
-renamed, folder synced. Any error of the operating system becomes a DiskError, and
-whoever was writing then no longer knows what the disk holds. A file whose write or
-sync has failed takes no further append: its tail may be a partly written record, and
-after a failed fsync the system may have dropped pages that it still shows to readers,
-so a later successful fsync would prove nothing. Only `put`, which makes a new file
-from bytes that the caller has checked, opens the name again.
+`put` replaces a whole file atomically: it writes a temporary file, syncs it, renames it
+and syncs the directory. Every OSError is converted to DiskError, after which the
+writer does not know what the disk holds. A file whose write or sync has failed accepts
+no further append: its tail may be a partial record, and after a failed fsync the kernel
+may have dropped dirty pages that readers still see, so a later successful fsync would
+prove nothing. Only `put`, which writes a new file from bytes that the caller has
+verified, makes the name usable again.
 """
 
 import contextlib
@@ -17,33 +17,33 @@
 
 
 class DiskError(Exception):
-    """The disk did not take or give what it was asked to."""
+    """An operation on the disk failed."""
 
 
 class DiskCorruptionError(DiskError):
-    """Bytes that had been synced are missing or altered: the folder must be wiped."""
+    """Bytes that had been synced are missing or altered; the data folder must be wiped."""
 
 
 @contextlib.contextmanager
 def convert_os_errors(action, name):
-    """Errors of the operating system inside become a DiskError that names the file."""
+    """Converts an OSError in the block to a DiskError that names the action and the file."""
     try:
         yield
     except OSError as error:
-        raise DiskError(f"{action} {name}: {error}") from error
+        raise DiskError(f"cannot {action} {name}: {error}") from error
 
 
 class Disk:
-    """The files of one data folder, whether the operating system's or a simulated one."""
+    """The files of one data folder, of the operating system or simulated."""
 
     def __init__(self, path, make_folder=folder_module.Folder):
         with convert_os_errors("open", path):
             self.files = make_folder(path)
-        self.handles = {}  # name -> handle of a file being appended to
-        self.failed_names = set()  # names that take no append until replaced
+        self.handles = {}  # name -> open handle of a file that is appended to
+        self.failed_names = set()  # names that accept no append until replaced
 
     def names(self):
-        """The names of all finished files, sorted."""
+        """The names of all files except temporary ones, sorted."""
         with convert_os_errors("list", "the folder"):
             return [name for name in self.files.names() if not name.endswith(TEMPORARY_SUFFIX)]
 
@@ -53,7 +53,7 @@
             return self.files.read(name)
 
     def append(self, name, data):
-        """Writes at the end of an existing file; durable after `sync`."""
+        """Appends to an existing file; durable after `sync`."""
         self.check_usable(name)
         try:
             with convert_os_errors("append", name):
@@ -65,7 +65,7 @@
             raise
 
     def sync(self, name):
-        """Returns once all that was appended to a file survives a loss of power."""
+        """Returns once everything appended to a file is durable across a power loss."""
         self.check_usable(name)
         try:
             with convert_os_errors("sync", name):
@@ -75,7 +75,7 @@
             raise
 
     def put(self, name, data):
-        """Replaces a whole file; a loss of power leaves the old content or the new."""
+        """Replaces a whole file atomically; a power loss leaves the old content or the new."""
         temporary = name + TEMPORARY_SUFFIX
         self.close(name)
         with convert_os_errors("put", name):
@@ -90,7 +90,7 @@
         self.failed_names.discard(name)
 
     def remove(self, names):
-        """Removes files; returns once they cannot come back after a loss of power."""
+        """Removes files; returns once a power loss cannot bring them back."""
         for name in names:
             self.close(name)
             with convert_os_errors("remove", name):
@@ -99,28 +99,28 @@
             self.sync_directory()
 
     def temporary_names(self, prefix):
-        """The names of files with this prefix that interrupted calls of `put` have left."""
+        """The names of temporary files with this prefix, left by interrupted calls of `put`."""
         with convert_os_errors("list", "the folder"):
             names = self.files.names()
         return [name for name in names if name.startswith(prefix) and name.endswith(TEMPORARY_SUFFIX)]
 
     def sync_directory(self):
-        """Returns once all names made, renamed or removed so far survive a loss of power."""
+        """Returns once all files created, renamed or removed so far remain so after a power loss."""
         with convert_os_errors("sync", "the folder"):
             self.files.sync_directory()
 
     def write_all(self, handle, data):
-        """Writes all of the data; the system may take it in several parts."""
+        """Writes all of the data, in several calls if the system accepts only a part."""
         while data:
             data = data[self.files.write(handle, data) :]
 
     def check_usable(self, name):
         """Raises DiskError if an earlier write or sync of the file failed."""
         if name in self.failed_names:
-            raise DiskError(f"{name}: an earlier write or sync failed")
+            raise DiskError(f"cannot write {name}: an earlier write or sync failed")
 
     def close(self, name):
-        """Closes the handle on a file that has been appended to, if there is one."""
+        """Closes the open handle of a file, if there is one."""
         if name in self.handles:
             with convert_os_errors("close", name):
                 self.files.close(self.handles.pop(name))
--- a/mothshed/storage/disk_log.py
+++ b/mothshed/storage/disk_log.py
@@ -1,11 +1,11 @@
-"""One part's replicated log on disk: term and vote, a snapshot, and the entries after it.
-
-Every write is one frame that is synced before it counts, so a loss of power leaves
-the state before the write or after it. At start the newest generation is read and
-all older files are removed. A last frame that is not whole is a write that was never
-acknowledged, and is cut off; anything else that is missing or damaged had been
-synced, so it is a DiskCorruptionError, and the member must return with an empty folder.
-After a failed write the log refuses all others until it is opened again.
+"""The replicated log of one part on disk: term and vote, a snapshot, and the entries after it.
+
+Every write is one frame that is synced before it is acknowledged, so a power loss leaves
+the state before the write or after it. Opening the log reads the newest generation and
+removes all older files. An incomplete last frame is a write that was never
+acknowledged, and is truncated; anything else that is missing or damaged had been synced,
+so it raises DiskCorruptionError, and the member must rejoin with an empty data folder.
+After a failed write the log refuses all further writes until it is opened again.
 """
 
 import contextlib
@@ -18,13 +18,13 @@
 
 
 class PartLog(log_state.LogState):
-    """The log of one part, every change of which is durable once the call has returned."""
+    """The log of one part; every change is durable once the call has returned."""
 
     def __init__(self, disk, part):
         super().__init__()
         self.disk = disk
         self.stem = f"part-{part}"
-        self.generation, self.segment = 0, 0  # segment 0: none begun in this generation
+        self.generation, self.segment = 0, 0  # segment 0: this generation has no segment yet
         self.segment_size = 0
         self.bytes_since_snapshot = 0  # bytes of all segments of this generation
         self.failed = False
@@ -32,7 +32,7 @@
 
     # --- reading -------------------------------------------------------------
     def load(self):
-        """Reads the newest generation and makes sure that a loss of power keeps it."""
+        """Reads the newest generation, and makes sure that it is durable."""
         self.disk.remove(self.disk.temporary_names(f"{self.stem}-"))
         names = self.disk.names()
         self.generation = max(log_format.snapshot_generations(self.stem, names), default=0)
@@ -40,23 +40,25 @@
             self.read_snapshot()
         segments = log_format.segment_numbers(self.stem, names)
         if segments and segments[-1][0] > self.generation:
-            raise disk_module.DiskCorruptionError(f"{self.stem}: no snapshot of generation {segments[-1][0]}")
+            raise disk_module.DiskCorruptionError(
+                f"{self.stem}: the snapshot of generation {segments[-1][0]} is missing"
+            )
         numbers = [number for generation, number in segments if generation == self.generation]
         if numbers != list(range(1, len(numbers) + 1)):
-            raise disk_module.DiskCorruptionError(f"{self.stem}: of the segments, only {numbers} are there")
+            raise disk_module.DiskCorruptionError(f"{self.stem}: segments are missing, found only {numbers}")
         for number in numbers:
             self.read_segment(number, number == numbers[-1])
         if self.generation and not numbers:
-            self.disk.sync_directory()  # a process killed in put_snapshot may not have come to it
+            self.disk.sync_directory()  # a process killed in put_snapshot may not have synced the directory
         self.remove_stale_files(names)
 
     def read_snapshot(self):
-        """Reads the snapshot file of the newest generation, which must be one whole frame."""
+        """Reads the snapshot file of the newest generation, which must be one complete frame."""
         name = self.snapshot_name(self.generation)
         data = self.disk.read(name)
         scan = log_format.scan(data)
         if len(scan.bodies) != 1 or scan.size != len(data):
-            raise disk_module.DiskCorruptionError(f"{name}: not one whole frame")
+            raise disk_module.DiskCorruptionError(f"{name}: not exactly one complete frame")
         lines = scan.bodies[0].split(b"\n")
         header = log_format.decode_header(log_format.SnapshotHeader, lines[0])
         self.term, self.vote = header.term, header.vote
@@ -65,7 +67,7 @@
         self.replay(lines[2:])
 
     def read_segment(self, number, is_last):
-        """Reads one segment; a torn frame is passed over at the end of the last one only."""
+        """Reads one segment; an incomplete frame is tolerated only at the end of the last segment."""
         name = self.segment_name(number)
         data = self.disk.read(name)
         scan = log_format.scan(data)
@@ -74,19 +76,19 @@
             raise disk_module.DiskCorruptionError(f"{name}: damaged at byte {scan.size}")
         lines = scan.bodies[0].split(b"\n")
         if log_format.decode_header(log_format.SegmentHeader, lines[0]) != self.segment_header(number):
-            raise disk_module.DiskCorruptionError(f"{name}: what it continues is missing")
+            raise disk_module.DiskCorruptionError(f"{name}: the header does not match the state of the log before it")
         self.replay(lines[1:])
         for body in scan.bodies[1:]:
             self.replay(body.split(b"\n"))
         self.segment, self.segment_size = number, scan.size
         self.bytes_since_snapshot += scan.size
         if is_last:
-            # A new file: whether the last frame was ever synced is not known, and after
-            # a failed fsync the old file's content may be in memory only.
+            # Rewritten as a new file: the last frame may never have been synced, and after
+            # a failed fsync the content of the old file may exist only in the page cache.
             self.disk.put(name, data[: scan.size])
 
     def remove_stale_files(self, names):
-        """Removes this part's files of earlier generations; a loss of power may bring any of them back."""
+        """Removes this part's files of earlier generations; a power loss may have brought any of them back."""
         live = {self.snapshot_name(self.generation)}
         live.update(self.segment_name(number) for number in range(1, self.segment + 1))
         self.disk.remove([name for name in names if name.startswith(f"{self.stem}-") and name not in live])
@@ -99,13 +101,13 @@
             self.term, self.vote = term, vote
 
     def put(self, entries):
-        """Appends successive entries as one atomic write, dropping what stood at their place."""
+        """Appends consecutive entries in one atomic write, replacing entries from the first index on."""
         entries = [entry for entry in entries if entry["i"] > self.base]
         if not entries:
             return
         first = entries[0]["i"]
         if first > self.last + 1 or [entry["i"] for entry in entries] != list(range(first, first + len(entries))):
-            raise ValueError(f"{self.stem}: entries from {first} on cannot follow {self.last}")
+            raise ValueError(f"{self.stem}: entries from index {first} cannot follow the last index {self.last}")
         rows = [log_format.encode(entry) for entry in entries]
         self.write(rows)
         for entry, row in zip(entries, rows, strict=True):
@@ -124,7 +126,7 @@
             self.count_written(len(data))
 
     def begin_segment(self, rows):
-        """Makes the next segment, whole with its header and first rows."""
+        """Creates the next segment with its header and first rows in one atomic write."""
         header = log_format.encode_header(self.segment_header(self.segment + 1))
         data = log_format.frame([header, *rows])
         self.disk.close(self.segment_name(self.segment))
@@ -133,40 +135,42 @@
         self.count_written(len(data))
 
     def count_written(self, size):
-        """Counts bytes that are now durable in the current segment."""
+        """Adds the bytes that are now durable in the current segment."""
         self.segment_size += size
         self.bytes_since_snapshot += size
 
-    def put_snapshot(self, snapshot, keep):
-        """Begins a new generation with this snapshot, keeping entries above `keep` for members that lag.
+    def put_snapshot(self, snapshot, retain_above):
+        """Begins a new generation with this snapshot, and retains entries above `retain_above` for lagging members.
 
-        Entries that the snapshot covers are kept only up to MAX_RETAINED_LOG_BYTES. If the
-        log does not hold the snapshot's last entry, none of its entries is kept.
+        Of the entries that the snapshot covers, at most MAX_RETAINED_LOG_BYTES are retained. If the log
+        does not contain the snapshot's last entry, no entry is retained.
         """
         index = snapshot["index"]
         if index < self.base or (self.snapshot and index < self.snapshot["index"]):
-            raise ValueError(f"{self.stem}: snapshot {index} is older than what the log stands on")
+            raise ValueError(
+                f"{self.stem}: snapshot at index {index} is older than the base of the log or its snapshot"
+            )
         if self.term_at(index) == snapshot["term"]:
-            base = self.retained_base(index, max(keep, self.base))
+            base = self.retained_base(index, max(retain_above, self.base))
             base_term = self.term_at(base)
-            kept = self.entries[base - self.base :]
+            retained = self.entries[base - self.base :]
             sizes = self.sizes[base - self.base :]
         else:
-            base, base_term, kept, sizes = index, snapshot["term"], [], []
+            base, base_term, retained, sizes = index, snapshot["term"], [], []
         header = log_format.SnapshotHeader(self.generation + 1, self.term, self.vote, base, base_term)
         rows = [log_format.encode_header(header), log_format.encode(snapshot)]
-        rows += [log_format.encode(entry) for entry in kept]
+        rows += [log_format.encode(entry) for entry in retained]
         with self.refuse_writes_after_error():
             self.disk.put(self.snapshot_name(header.generation), log_format.frame(rows))
             self.generation, self.segment, self.segment_size = header.generation, 0, 0
             self.bytes_since_snapshot = 0
             self.snapshot, self.base, self.base_term = snapshot, base, base_term
-            self.entries, self.sizes = kept, sizes
+            self.entries, self.sizes = retained, sizes
             self.remove_stale_files(self.disk.names())
 
     @contextlib.contextmanager
     def refuse_writes_after_error(self):
-        """After a fault nobody knows what the files hold, so nothing may be written behind it."""
+        """Refuses all writes after a failed one, because the content of the files is then unknown."""
         if self.failed:
             raise disk_module.DiskError(f"{self.stem}: an earlier write failed; the log must be opened again")
         try:
@@ -177,7 +181,7 @@
 
     # --- names ---------------------------------------------------------------
     def segment_header(self, number):
-        """The header of a segment that continues the present state."""
+        """The header of a segment that continues the current state."""
         return log_format.SegmentHeader(self.generation, number, self.term, self.vote, self.last, self.last_term)
 
     def snapshot_name(self, generation):
--- a/mothshed/storage/folder.py
+++ b/mothshed/storage/folder.py
@@ -1,8 +1,7 @@
-"""The operating system's calls on the files of one folder.
+"""File operations of the operating system in one directory.
 
-`Disk` is written against this small interface, so that the simulator can put a
-folder in its place that loses power between any two calls. Every method may raise
-OSError; nothing here retries.
+`Disk` uses only this small interface, so that the simulator can substitute a directory
+that loses power between any two calls. Every method may raise OSError; nothing is retried.
 """
 
 import os
@@ -10,7 +9,7 @@
 
 
 class Folder:
-    """One directory of the real file system; files are named relative to it."""
+    """One directory of the real file system; file names are relative to it."""
 
     def __init__(self, path):
         self.path = pathlib.Path(path)
@@ -28,35 +27,35 @@
             return b""
 
     def create(self, name):
-        """A handle on a file of this name that is empty."""
+        """Creates or truncates a file, and returns a handle for writing."""
         return os.open(self.path / name, os.O_CREAT | os.O_TRUNC | os.O_WRONLY)
 
     def open(self, name):
-        """A handle that appends to a file, which must exist."""
+        """Opens an existing file for appending, and returns its handle."""
         return os.open(self.path / name, os.O_WRONLY | os.O_APPEND)
 
     def write(self, handle, data):
-        """Writes some of the data, and says how many bytes."""
+        """Writes some of the data, and returns the number of bytes written."""
         return os.write(handle, data)
 
     def fsync(self, handle):
-        """Returns once the file's content survives a loss of power."""
+        """Returns once the content of the file is durable."""
         os.fsync(handle)
 
     def close(self, handle):
-        """Gives the handle back; says nothing of what is durable."""
+        """Closes a handle, without any guarantee of durability."""
         os.close(handle)
 
     def rename(self, name, new_name):
-        """Atomically puts the file in the place of any that had the new name."""
+        """Renames a file atomically, replacing any file of the new name."""
         os.replace(self.path / name, self.path / new_name)
 
     def remove(self, name):
-        """Removes a file; no error if there is none."""
+        """Removes a file; not an error if it does not exist."""
         (self.path / name).unlink(missing_ok=True)
 
     def sync_directory(self):
-        """Returns once names that were made, renamed or removed survive a loss of power."""
+        """Returns once files created, renamed or removed before remain so after a power loss."""
         handle = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(handle)
--- a/mothshed/storage/log_format.py
+++ b/mothshed/storage/log_format.py
@@ -1,14 +1,14 @@
-"""The bytes of a part's log: frames, headers and the names of its files.
+"""On-disk format of a part's log: frames, header rows and file names.
 
-A frame is one atomic write: a head (mark, length, checksum) and a body of JSON rows,
-one a line. Of a frame either all rows are read back or none. The mark cannot occur
-in a body, which is ASCII, so a whole frame behind a damaged one is found quickly.
+A frame is one atomic write: a header (magic, length, checksum) and a body of JSON rows,
+one per line. Either all rows of a frame are read back or none. The magic cannot occur
+in a body, which is ASCII, so a complete frame after a damaged one is found quickly.
 
-Two kinds of files make up a log, and both are put in place whole by a rename:
-`part-P-snap-G` begins generation G with a snapshot and the entries kept; the
-segments `part-P-seg-G-N`, N = 1, 2, ..., hold what was written since. A generation
-makes all files of earlier ones void. The first frame of a file begins with a header
-row that says what the file stands on.
+A log consists of two kinds of files, both created atomically by a rename: `part-P-snap-G`
+begins generation G with a snapshot and the retained entries; the segments
+`part-P-seg-G-N`, N = 1, 2, ..., hold the writes since. A generation supersedes all files
+of earlier ones. The first frame of a file begins with a header row that states the log
+state that the file continues.
 """
 
 import dataclasses
@@ -20,23 +20,23 @@
 import mothshed.storage.disk as disk_module
 
 MAGIC = b"\xab\xfe"
-HEADER = struct.Struct("!2sII")  # mark, length of the body, its checksum
+HEADER = struct.Struct("!2sII")  # magic, body length, CRC-32 of the body
 
 
 @dataclasses.dataclass(frozen=True)
 class SnapshotHeader:
-    """First row of a snapshot file; the snapshot and the kept entries follow in the same frame."""
+    """First row of a snapshot file; the snapshot and the retained entries follow in the same frame."""
 
     generation: int
     term: int
     vote: str
-    base: int  # index that the first kept entry follows
+    base: int  # index before the first retained entry
     base_term: int
 
 
 @dataclasses.dataclass(frozen=True)
 class SegmentHeader:
-    """First row of a segment: the state of the log that the segment continues."""
+    """First row of a segment: the log state that the segment continues."""
 
     generation: int
     segment: int
@@ -48,20 +48,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Scan:
-    """The frames at the start of a file."""
+    """The complete frames at the start of a file."""
 
     bodies: list
-    size: int  # bytes that they take
-    has_frame_after_damage: bool  # a whole frame stands behind a damaged one
+    size: int  # bytes of these frames
+    has_frame_after_damage: bool  # whether a complete frame follows a damaged one
 
 
 def encode(row):
-    """One row, a JSON object, as bytes without line breaks."""
+    """Encodes one row, a JSON object, without line breaks."""
     return json.dumps(row, separators=(",", ":")).encode()
 
 
 def encode_header(header):
-    """A header as the bytes of one row."""
+    """Encodes a header as one row."""
     return encode(dataclasses.asdict(header))
 
 
@@ -71,17 +71,17 @@
         row = json.loads(line)
         return kind(**{field.name: row[field.name] for field in dataclasses.fields(kind) if field.name in row})
     except (TypeError, ValueError) as error:
-        raise disk_module.DiskCorruptionError(f"no {kind.__name__}: {error}") from error
+        raise disk_module.DiskCorruptionError(f"invalid {kind.__name__}: {error}") from error
 
 
 def frame(rows):
-    """Encoded rows as one frame."""
+    """Packs encoded rows into one frame."""
     body = b"\n".join(rows)
     return HEADER.pack(MAGIC, len(body), zlib.crc32(body)) + body
 
 
 def frame_at(data, at):
-    """The body of the whole frame at this offset, or None."""
+    """The body of the complete frame at this offset, or None."""
     if at + HEADER.size > len(data):
         return None
     magic, size, checksum = HEADER.unpack_from(data, at)
@@ -92,7 +92,7 @@
 
 
 def scan(data):
-    """Reads whole frames from the start, up to the end or to the first that is not whole."""
+    """Reads complete frames from the start, up to the end or the first incomplete or damaged frame."""
     bodies, at = [], 0
     while (body := frame_at(data, at)) is not None:
         bodies.append(body)
@@ -101,7 +101,7 @@
 
 
 def has_complete_frame(data, start):
-    """Whether a whole frame begins at this offset or anywhere behind it."""
+    """Whether a complete frame begins at or after this offset."""
     at = data.find(MAGIC, start)
     while at >= 0:
         if frame_at(data, at) is not None:
@@ -121,12 +121,12 @@
 
 
 def snapshot_generations(stem, names):
-    """The generations that have a snapshot file."""
+    """The generations that have a snapshot file, sorted."""
     found = (re.fullmatch(rf"{stem}-snap-(\d+)", name) for name in names)
     return sorted(int(match[1]) for match in found if match)
 
 
 def segment_numbers(stem, names):
-    """The (generation, number) of every segment."""
+    """The (generation, number) of every segment file, sorted."""
     found = (re.fullmatch(rf"{stem}-seg-(\d+)-(\d+)", name) for name in names)
     return sorted((int(match[1]), int(match[2])) for match in found if match)
--- a/mothshed/storage/log_state.py
+++ b/mothshed/storage/log_state.py
@@ -1,4 +1,4 @@
-"""What a replicated log holds in memory: term and vote, a snapshot, and the entries after its base."""
+"""The in-memory state of a replicated log: term and vote, a snapshot, and the entries after its base."""
 
 import json
 import typing
@@ -10,18 +10,18 @@
 
 
 class LogState:
-    """The content of one part's log. An entry is {"i": index, "t": term, "c": command}."""
+    """The state of one part's log. An entry is {"i": index, "t": term, "c": command}."""
 
     def __init__(self) -> None:
         self.term, self.vote = 0, ""
-        self.base, self.base_term = 0, 0  # index and term that the first entry follows
-        self.entries: list[Entry] = []  # entries base+1 ...
-        self.sizes: list[int] = []  # bytes of each entry as encoded
+        self.base, self.base_term = 0, 0  # index and term before the first entry
+        self.entries: list[Entry] = []  # entries from index base + 1
+        self.sizes: list[int] = []  # encoded size of each entry in bytes
         self.snapshot: dict[str, typing.Any] | None = None  # {"index", "term", "membership", "state"}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing was ever written."""
+        """Whether nothing was ever written to the log."""
         return not (self.term or self.vote or self.entries or self.snapshot)
 
     @property
@@ -35,7 +35,7 @@
         return self.entries[-1]["t"] if self.entries else self.base_term
 
     def term_at(self, index: int) -> int | None:
-        """The term of the entry at this index, or None if the log does not know it."""
+        """The term of the entry at this index, or None if the log does not contain it."""
         if index == self.base:
             return self.base_term
         if self.base < index <= self.last:
@@ -47,15 +47,15 @@
         return self.entries[index - self.base - 1]
 
     def entry_bytes(self, index: int) -> int:
-        """Bytes of one entry as encoded, for bounding what is sent or kept."""
+        """Encoded size of one entry in bytes, to limit what is sent or retained."""
         return self.sizes[index - self.base - 1]
 
     def bytes_from(self, first: int) -> int:
-        """Bytes of all entries from this index on, as encoded."""
+        """Encoded size of all entries from this index on, in bytes."""
         return sum(self.sizes[max(0, first - self.base - 1) :])
 
     def replay(self, lines: list[str]) -> None:
-        """Takes encoded rows as they were once written; DiskCorruptionError if an entry cannot follow."""
+        """Applies encoded rows in the order written; raises DiskCorruptionError if an entry leaves a gap."""
         for line in lines:
             row = json.loads(line)
             if "vote" in row:
@@ -63,10 +63,12 @@
             elif self.base < row["i"] <= self.last + 1:
                 self.store_entry(row, len(line))
             else:
-                raise disk_module.DiskCorruptionError(f"entry {row['i']} cannot follow {self.last}")
+                raise disk_module.DiskCorruptionError(
+                    f"entry at index {row['i']} cannot follow the last index {self.last}"
+                )
 
     def store_entry(self, entry: Entry, size: int) -> None:
-        """Adds an entry, dropping those at its index and after it."""
+        """Adds an entry, replacing those at its index and after."""
         at = entry["i"] - self.base - 1
         del self.entries[at:]
         del self.sizes[at:]
@@ -74,7 +76,7 @@
         self.sizes.append(size)
 
     def retained_base(self, index: int, min_base: int) -> int:
-        """The lowest base, at least `min_base`, above which few enough bytes of entries up to index stand."""
+        """The lowest base from `min_base` on that retains at most MAX_RETAINED_LOG_BYTES of entries up to index."""
         size = 0
         for at in range(index, min_base, -1):
             size += self.entry_bytes(at)
