--- a/tests/log_crashes.py
+++ b/tests/log_crashes.py
@@ -1,7 +1,7 @@
-"""Plays writes on a part's log and stops them at any call to the disk.
+"""Runs a script of writes on a part's log, interrupted at each call to the disk.
 
-A script is a list of (method, arguments) for PartLog. `stops` plays it once for
-every call that changes a file, interrupted at that call, and says which states the
+A script is a list of (method, arguments) for PartLog. `interruptions` runs it once for
+every call that changes a file, interrupts it at that call, and lists the states that the
 log may then have: the one before the interrupted write or the one after it.
 """
 
@@ -34,13 +34,13 @@
     ("put_snapshot", (snapshot(8, 2), 6)),
     ("put_term", (3, "")),
     ("put", ([entry(10, 3)],)),
-    ("put_snapshot", (snapshot(20, 3), 20)),  # another member's: nothing of the log is kept
+    ("put_snapshot", (snapshot(20, 3), 20)),  # from another member: no entry of the log is retained
     ("put", ([entry(21, 3)],)),
 ]
 
 
 def open_log(folder):
-    """The log as a process finds it that has just started."""
+    """The log as a newly started process opens it."""
     return disk_log.PartLog(disk_module.Disk("", lambda path: folder), 1)
 
 
@@ -54,14 +54,14 @@
 
 
 def folder_with_files(files):
-    """A folder that holds these files, all durable."""
+    """A folder with these files, all durable."""
     folder = volatile_folder.VolatileFolder()
     folder.restore(files)
     return folder
 
 
 def states_during(script):
-    """The states before the first write, and after each."""
+    """The states before the first write and after each write."""
     log = open_log(volatile_folder.VolatileFolder())
     found = [state(log)]
     for method, args in script:
@@ -72,16 +72,16 @@
 
 @dataclasses.dataclass
 class Interruption:
-    """A folder whose process was stopped at a call, and the states that its log may have."""
+    """A folder whose process was interrupted at a call, and the states that its log may have."""
 
     folder: volatile_folder.VolatileFolder
     call: str
     allowed: list
-    log: disk_log.PartLog  # as the stopped process had it; None if it was still opening it
+    log: disk_log.PartLog  # of the interrupted process; None if it was still opening the log
 
 
 class ErrorAtCall:
-    """Raises an error at the n-th call that changes a file; counts them."""
+    """Counts the calls that change a file, and raises an error at one of them."""
 
     def __init__(self, at, make_error):
         self.at, self.make_error = at, make_error
@@ -95,7 +95,7 @@
 
 
 def run_script(script, folder):
-    """Plays the script; returns the log, how many writes were done, and whether none was interrupted."""
+    """Runs the script; returns the log, the number of completed writes, and whether the script finished."""
     log, done = None, 0
     try:
         log = open_log(folder)
@@ -110,7 +110,7 @@
 def interruptions(
     script, make_error=volatile_folder.PowerLost, start=lambda: volatile_folder.VolatileFolder(), states=None
 ):
-    """Every Stop of this script, the last one after its end; `start` makes the folder to begin with."""
+    """Every Interruption of this script, the last one after its end; `start` makes the initial folder."""
     states = states or states_during(script)
     for at in itertools.count(1):
         folder = start()
@@ -124,7 +124,7 @@
 
 
 def folders_after_power_loss(folder):
-    """Every folder that a loss of power may leave, each state once."""
+    """Every distinct folder that a power loss may leave."""
     seen = set()
     for files in folder.outcomes():
         key = tuple(sorted(files.items()))
@@ -134,22 +134,24 @@
 
 
 def check_interruption(interruption):
-    """Opens the log after the stop, with power lost or not; returns how many cases were opened."""
+    """Opens the log after an interruption, with and without power loss; returns the number of cases."""
     count = 0
     for folder in itertools.chain(folders_after_power_loss(interruption.folder), [interruption.folder]):
         found = state(open_log(folder))
         assert found in interruption.allowed, (
-            f"stopped at {interruption.call}: {found} is none of {interruption.allowed}"
+            f"interrupted at {interruption.call}: {found} is none of {interruption.allowed}"
         )
         for later in folders_after_power_loss(folder):
-            assert state(open_log(later)) == found, f"stopped at {interruption.call}: an opened state was lost"
+            assert state(open_log(later)) == found, (
+                f"interrupted at {interruption.call}: the state of an opened log was lost"
+            )
             count += 1
         count += 1
     return count
 
 
 def read_segment_in_place(self, number, is_last, read_segment=disk_log.PartLog.read_segment):
-    """PartLog.read_segment that syncs a whole last segment again, and believes it, instead of putting it anew."""
+    """PartLog.read_segment that syncs a complete last segment again and trusts it, instead of rewriting it."""
     put = self.disk.put
 
     def sync_again(name, data):
--- a/tests/peer_nodes.py
+++ b/tests/peer_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes that say records to each other on real sockets, by a clock that tests move on."""
+"""Nodes that exchange records on real sockets, with a clock that tests advance."""
 
 import contextlib
 import socket
@@ -10,12 +10,12 @@
 import mothshed.transport.records as records
 import tools.fleet as fleet
 
-RAW_PEER = "127.0.0.1:1"  # what a connection made by hand calls itself
-TIMEOUT_S = 20.0  # s; longest wait for what must come
+RAW_PEER = "127.0.0.1:1"  # address in the hello of a connection without a node
+TIMEOUT_S = 20.0  # longest wait for an expected event
 
 
 class Clock:
-    """A clock that tests move on."""
+    """A clock that tests advance."""
 
     def __init__(self):
         self.seconds = 1000.0
@@ -25,7 +25,7 @@
 
 
 class Node:
-    """Peers at a free port that keep the marks of the records that they took."""
+    """Peers on a free port that store sender and mark of each received record."""
 
     def __init__(self, clock=None):
         self.clock = clock or Clock()
@@ -62,7 +62,7 @@
 
 @contextlib.contextmanager
 def nodes():
-    """A maker of nodes, all stopped at the end."""
+    """A function that makes nodes; all are stopped at the end."""
     made = []
 
     def make(clock=None):
@@ -78,7 +78,7 @@
 
 @contextlib.contextmanager
 def raw_peer(node):
-    """A connection to a node that has said hello as RAW_PEER, and one record that arrived."""
+    """A plain connection to a node, after a hello as RAW_PEER and one received record."""
     with socket.create_connection(link.parse_address(node.address), TIMEOUT_S) as conn:
         conn.sendall(records.pack("hello", address=RAW_PEER) + packed(1))
         node.wait_for(1)
@@ -86,7 +86,7 @@
 
 
 def wait_until(condition):
-    """Wait for something that another thread brings about."""
+    """Wait until another thread has made a condition true."""
     deadline, event = time.monotonic() + TIMEOUT_S, threading.Event()
     while not condition():
         assert time.monotonic() < deadline
@@ -94,5 +94,5 @@
 
 
 def packed(mark, release=None):
-    """The record that a node sends for this mark, as a reader of this release is sent it."""
+    """The record that a node sends for this mark to a peer of this release."""
     return records.CODEC.pack("ask", {"part": 0, "mark": mark, "held": 0, "staged": 0}, release)
--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -1,4 +1,4 @@
-"""The log on a real disk: torn tails are cut off, damage elsewhere is not passed over."""
+"""The log on a real disk: torn tails are truncated, damage elsewhere is reported."""
 
 import json
 import types
@@ -25,7 +25,7 @@
     return sorted(folder.glob("part-1-seg-*"))[-1]
 
 
-def test_every_torn_length_of_the_last_write_is_cut_off(tmp_path):
+def test_a_last_write_torn_at_any_byte_is_truncated(tmp_path):
     one = log(tmp_path)
     one.put_term(3, "a/1")
     one.put([entry(1)])
@@ -42,7 +42,7 @@
     assert log(tmp_path).last == 3
 
 
-def test_damage_before_a_whole_frame_is_never_taken_for_a_torn_tail(tmp_path):
+def test_damage_before_a_complete_frame_is_never_treated_as_a_torn_tail(tmp_path):
     one, ends = log(tmp_path), []
     for index in (1, 2, 3):
         one.put([entry(index)])
@@ -52,13 +52,13 @@
         last_segment(tmp_path).write_bytes(whole[:at] + bytes([whole[at] ^ 0xFF]) + whole[at + 1 :])
         with pytest.raises(disk.DiskCorruptionError):
             log(tmp_path)
-    torn = whole[: ends[0] + 11] + whole[ends[0] + 20 :]  # a half-written frame, then a later one
+    torn = whole[: ends[0] + 11] + whole[ends[0] + 20 :]  # a partly written frame, followed by a later one
     last_segment(tmp_path).write_bytes(torn)
     with pytest.raises(disk.DiskCorruptionError):
         log(tmp_path)
 
 
-def test_snapshot_and_segments_give_back_the_same(tmp_path, monkeypatch):
+def test_snapshot_and_segments_are_read_back_unchanged(tmp_path, monkeypatch):
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 300)
     one = log(tmp_path)
     for n in range(1, 20):
@@ -77,7 +77,7 @@
     one.put([entry(n) for n in range(1, 9)])
 
     def fail(name, new_name):
-        raise OSError("crashed here")
+        raise OSError("rename failed")
 
     monkeypatch.setattr(one.disk.files, "rename", fail)
     with pytest.raises(disk.DiskError):
@@ -89,7 +89,7 @@
     assert three.last == 8 and three.snapshot["index"] == 6 and [e["i"] for e in three.entries] == [5, 6, 7, 8]
 
 
-def test_entries_of_another_history_than_the_snapshot_are_dropped(tmp_path):
+def test_entries_that_conflict_with_the_snapshot_are_dropped(tmp_path):
     one = log(tmp_path)
     one.put([entry(n) for n in range(1, 9)])
     one.put_snapshot({"index": 6, "term": 2, "members": {}, "state": []}, 6)
@@ -97,7 +97,7 @@
         assert (each.base, each.base_term, each.last, each.last_term) == (6, 2, 6, 2)
 
 
-def test_entries_that_leave_a_gap_and_older_snapshots_are_not_written(tmp_path):
+def test_entries_after_a_gap_and_older_snapshots_are_rejected(tmp_path):
     one = log(tmp_path)
     one.put([entry(1)])
     for entries in ([entry(3)], [entry(2), entry(4)]):
@@ -110,7 +110,7 @@
     assert (log(tmp_path).last, log(tmp_path).snapshot["index"]) == (3, 3)
 
 
-def test_a_file_whose_write_failed_takes_no_append_until_replaced(tmp_path, monkeypatch):
+def test_a_file_whose_write_failed_accepts_no_append_until_replaced(tmp_path, monkeypatch):
     one = disk.Disk(tmp_path)
     one.put("a", b"whole ")
 
@@ -131,7 +131,7 @@
     assert one.read("a") == b"whole later"
 
 
-def test_errors_of_reading_and_listing_are_faults(tmp_path):
+def test_os_errors_of_reading_and_listing_become_disk_errors(tmp_path):
     one = disk.Disk(tmp_path / "data")
     (tmp_path / "data" / "folder").mkdir()
     with pytest.raises(disk.DiskError):
@@ -144,14 +144,14 @@
         one.names()
 
 
-def test_a_folder_that_cannot_be_written_is_a_fault(tmp_path):
+def test_a_path_that_is_not_a_folder_is_a_disk_error(tmp_path):
     blocked = tmp_path / "file"
     blocked.write_text("not a folder")
     with pytest.raises(disk.DiskError):
         disk.Disk(blocked)
 
 
-def test_a_member_that_cannot_write_stops_and_says_so_once():
+def test_a_member_that_cannot_write_stops_and_reports_it_once():
     told, pool = [], all_orders.Pool()
     seat = member.Member(
         all_orders.ManualEnvironment(pool, "a:1"),
@@ -172,7 +172,7 @@
     assert told == ["stopped"]
 
 
-def test_the_bad_disk_of_the_fleets_fails_as_its_file_says(tmp_path):
+def test_the_faulty_disk_of_the_fleet_tests_fails_as_its_faults_file_says(tmp_path):
     one = keep_on_bad_disk.BadDisk(tmp_path / "data")
     faults = tmp_path / "data.faults"
     part = disk_log.PartLog(one, 1)
@@ -187,7 +187,7 @@
             with pytest.raises(disk.DiskError):
                 call()
         faults.unlink()
-        with pytest.raises(disk.DiskError):  # the fault is over, but this log is not to be trusted
+        with pytest.raises(disk.DiskError):  # the disk works again, but this log must be reopened
             part.put([entry(2)])
         part = disk_log.PartLog(one, 1)
         assert part.get(1) == entry(1)
--- a/tests/test_disk_bounds.py
+++ b/tests/test_disk_bounds.py
@@ -1,4 +1,4 @@
-"""What a part's log takes of the disk and of handles is bounded, however long it runs."""
+"""The disk space and open handles of a part's log are bounded, however long it runs."""
 
 import mothshed.constants as constants
 import mothshed.storage.disk as disk
@@ -15,7 +15,7 @@
     return disk_log.PartLog(disk.Disk(folder), 1)
 
 
-def test_what_is_kept_below_a_snapshot_is_bounded_in_bytes(tmp_path, monkeypatch):
+def test_entries_retained_below_a_snapshot_are_bounded_in_bytes(tmp_path, monkeypatch):
     one = log(tmp_path)
     one.put([entry(n) for n in range(1, 11)])
     size = one.entry_bytes(2)
@@ -28,7 +28,7 @@
         assert each.entry_bytes(8) == size
 
 
-def test_bytes_since_the_snapshot_are_those_of_the_segments(tmp_path, monkeypatch):
+def test_bytes_since_the_snapshot_equal_the_size_of_the_segments(tmp_path, monkeypatch):
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 300)
     one = log(tmp_path)
     for n in range(1, 9):
@@ -41,7 +41,7 @@
     assert one.bytes_since_snapshot == log(tmp_path).bytes_since_snapshot == size > 900
 
 
-def test_of_many_segments_only_the_last_stays_open(tmp_path, monkeypatch):
+def test_only_the_last_segment_stays_open(tmp_path, monkeypatch):
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 100)
     one = log(tmp_path)
     for n in range(1, 30):
@@ -50,8 +50,8 @@
     assert one.segment > 10 and len(one.disk.handles) <= 1
 
 
-def test_bytes_on_disk_stay_level_over_thousands_of_entries(monkeypatch):
-    """Counts every byte at every call, also while the old generation and the new are both there."""
+def test_bytes_on_disk_do_not_grow_over_thousands_of_entries(monkeypatch):
+    """Measures the size at every call, including while the old and the new generation both exist."""
     monkeypatch.setattr(constants, "SNAPSHOT_INTERVAL_BYTES", 20000)
     monkeypatch.setattr(constants, "MAX_RETAINED_LOG_BYTES", 5000)
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 4000)
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -1,4 +1,4 @@
-"""A loss of power, a kill or a refused call at every step of every write: before or after, never between."""
+"""A power loss, kill or failed call at every step of every write leaves the state before or after it."""
 
 import errno
 import functools
@@ -25,7 +25,7 @@
 
 
 def test_power_lost_at_every_call_of_opening(segment_bytes):
-    """First the power goes in a write, then in the opening after it, then it opens whole."""
+    """Power is lost during a write and again while the log is opened; then the log opens intact."""
     for interruption in log_crashes.interruptions(log_crashes.SCRIPT):
         for folder in log_crashes.folders_after_power_loss(interruption.folder):
             files = folder.durable_state()
@@ -35,7 +35,7 @@
                 log_crashes.check_interruption(again)
 
 
-def test_a_process_killed_in_a_write_and_one_killed_in_opening_leave_it_to_the_third(segment_bytes):
+def test_a_log_opens_after_a_kill_during_a_write_and_a_kill_during_opening(segment_bytes):
     for interruption in log_crashes.interruptions(log_crashes.SCRIPT):
         for at in range(1, 5):
             interruption.folder.before_step = log_crashes.ErrorAtCall(at, volatile_folder.PowerLost)
@@ -45,17 +45,17 @@
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC], ids=errno.errorcode.get)
-def test_a_call_that_fails_at_every_step_leaves_before_or_after(segment_bytes, number):
+def test_a_call_that_fails_at_any_step_leaves_the_state_before_or_after_the_write(segment_bytes, number):
     for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
         log_crashes.check_interruption(interruption)
 
 
 @pytest.mark.parametrize("number", [errno.EIO, errno.ENOSPC], ids=errno.errorcode.get)
-def test_after_a_fault_the_log_refuses_everything_until_opened_again(segment_bytes, number):
+def test_after_an_error_the_log_refuses_all_writes_until_opened_again(segment_bytes, number):
     for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(number, "refused")):
         if not (interruption.log and interruption.call):
             continue
-        interruption.folder.before_step = lambda step, name: pytest.fail(f"{step} {name} after a fault")
+        interruption.folder.before_step = lambda step, name: pytest.fail(f"{step} {name} after an error")
         index = interruption.log.last + 1
         for method, args in [
             ("put", ([log_crashes.entry(index, 9)],)),
@@ -71,7 +71,7 @@
         log_crashes.check_interruption(interruption)
 
 
-def test_a_disk_that_fills_at_any_byte_keeps_what_was_acknowledged(segment_bytes):
+def test_a_disk_that_fills_up_at_any_byte_keeps_acknowledged_writes(segment_bytes):
     states = log_crashes.states_during(log_crashes.SCRIPT)
     for room in itertools.count():
         folder = volatile_folder.VolatileFolder()
--- a/tests/test_disk_damage.py
+++ b/tests/test_disk_damage.py
@@ -1,4 +1,4 @@
-"""Files that came back, were left unfinished, or lost bytes that had been synced."""
+"""Removed files that reappear, leftover temporary files, and loss of bytes that had been synced."""
 
 import itertools
 
@@ -17,7 +17,7 @@
 
 
 def finished():
-    """A folder on which the script has been played, and every file it had on the way, by name."""
+    """A folder after running the script, every file that existed during it by name, and the log state."""
     folder, files = volatile_folder.VolatileFolder(), {}
     log = log_crashes.open_log(folder)
     for method, args in log_crashes.SCRIPT:
@@ -30,7 +30,7 @@
     return max(name for name in names if "-seg-" in name)
 
 
-def test_any_subset_of_removed_files_may_come_back(segment_bytes):
+def test_any_subset_of_removed_files_may_reappear(segment_bytes):
     folder, files, expected = finished()
     live = {name: folder.read(name) for name in folder.names()}
     removed = sorted(set(files) - set(live))
@@ -43,7 +43,7 @@
         assert found.names() == sorted(live)  # and they are removed again
 
 
-def test_unfinished_files_of_any_content_are_removed_unread():
+def test_temporary_files_of_any_content_are_removed_without_being_read():
     folder, files, expected = finished()
     live = {name: folder.read(name) for name in folder.names()}
     for name, content in files.items():
@@ -53,26 +53,26 @@
             assert found.names() == sorted(live)
 
 
-def test_a_live_file_that_is_missing_or_empty_is_damage(segment_bytes):
+def test_a_live_file_that_is_missing_or_empty_is_corruption(segment_bytes):
     folder, _, _ = finished()
     live = {name: folder.read(name) for name in folder.names()}
     last = last_segment(live)
     for name in live:
         with pytest.raises(disk_module.DiskCorruptionError):
             log_crashes.open_log(log_crashes.folder_with_files({**live, name: b""}))
-        if name != last:  # whether a last segment ever was cannot be known
+        if name != last:  # a missing last segment cannot be detected
             rest = {other: content for other, content in live.items() if other != name}
             with pytest.raises(disk_module.DiskCorruptionError):
                 log_crashes.open_log(log_crashes.folder_with_files(rest))
 
 
 def frame_offsets(data):
-    """The offsets at which the frames of a file begin, and its end."""
+    """The offsets at which the frames of a file begin, and the end of the last one."""
     ends = itertools.accumulate(len(body) + log_format.HEADER.size for body in log_format.scan(data).bodies)
     return [0, *ends]
 
 
-def test_every_altered_byte_and_every_lost_write_but_the_last_is_damage(monkeypatch):
+def test_every_altered_byte_and_every_lost_write_except_the_last_is_corruption(monkeypatch):
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", 400)
     folder = volatile_folder.VolatileFolder()
     log = log_crashes.open_log(folder)
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -1,4 +1,4 @@
-"""A keeper whose disk fails stays up, and opens its parts again once the disk takes writes."""
+"""A keeper whose disk fails stays up, and reopens its parts once the disk accepts writes."""
 
 import types
 
@@ -11,7 +11,7 @@
 
 
 class FailedKeeper:
-    """A keeper's parts, and a disk that refuses for a while: what the keeper does about it."""
+    """A keeper with a stopped part and a disk that refuses some writes; records what the keeper does."""
 
     def __init__(self, refusals):
         self.refusals, self.log = refusals, []
@@ -37,7 +37,7 @@
         keeper.Keeper.disk_failed(self)
 
 
-def test_a_keeper_whose_disk_failed_opens_its_parts_again_once_it_takes_writes():
+def test_a_keeper_whose_disk_failed_reopens_its_parts_once_the_disk_accepts_writes():
     failed = FailedKeeper(refusals=3)
     failed.disk_failed()
     failed.disk_failed()  # a second member on the same disk
@@ -46,7 +46,7 @@
     assert failed.log == ["pause"] * 4 + ["opened"] and not failed.waiting_for_disk
 
 
-def test_a_part_that_fails_while_the_others_are_opened_is_opened_too():
+def test_a_part_that_fails_while_the_others_are_reopened_is_reopened_too():
     failed = FailedKeeper(refusals=0)
 
     def reopen_some(once=[True]):  # noqa: B006
@@ -61,8 +61,8 @@
 
 
 @pytest.mark.parametrize("part", [0, 1])
-def test_a_keeper_lives_through_a_full_disk_and_serves_again_with_what_it_held(part):
-    """The same process, the same votes and entries; no other keeper takes its place."""
+def test_a_keeper_survives_a_full_disk_and_serves_again_with_its_state(part):
+    """The process continues with its votes and entries, and no other keeper replaces it."""
     f = simulate_fleet.SimFleet(f"full-{part}")
     f.ready()
     name = f.leader(part)
--- a/tests/test_disk_protections.py
+++ b/tests/test_disk_protections.py
@@ -1,4 +1,4 @@
-"""Each protection of a part's log taken out: the same script must show what is then lost."""
+"""With any protection of a part's log removed, the same script must show a loss."""
 
 import errno
 
@@ -11,16 +11,16 @@
 import tools.simulator.volatile_folder as volatile_folder
 
 
-def put_unsynced(self, name, data):
-    """Disk.put without its first sync."""
+def put_without_file_sync(self, name, data):
+    """Disk.put without the sync of the new file."""
     handle = self.files.create(name + disk_module.TEMPORARY_SUFFIX)
     self.write_all(handle, data)
     self.files.rename(name + disk_module.TEMPORARY_SUFFIX, name)
     self.files.sync_directory()
 
 
-def put_unnamed(self, name, data):
-    """Disk.put without the sync of the folder."""
+def put_without_directory_sync(self, name, data):
+    """Disk.put without the sync of the directory."""
     self.close(name)
     handle = self.files.create(name + disk_module.TEMPORARY_SUFFIX)
     self.write_all(handle, data)
@@ -29,15 +29,15 @@
 
 
 def put_in_place(self, name, data):
-    """Disk.put without a temporary name."""
+    """Disk.put without a temporary file."""
     handle = self.files.create(name)
     self.write_all(handle, data)
     self.files.fsync(handle)
     self.files.sync_directory()
 
 
-def put_one_by_one(self, entries):
-    """PartLog.put with a frame for every entry, all synced at once."""
+def put_frame_per_entry(self, entries):
+    """PartLog.put with one frame per entry, all synced together."""
     rows = [log_format.encode(entry) for entry in entries]
     if not self.segment:
         self.begin_segment(rows[:1])
@@ -50,42 +50,42 @@
 
 
 def put_snapshot_removing_first(self, snapshot, keep, put_snapshot=disk_log.PartLog.put_snapshot):
-    """PartLog.put_snapshot that makes room before it writes."""
+    """PartLog.put_snapshot that removes old files before it writes."""
     self.disk.remove([name for name in self.disk.names()])
     put_snapshot(self, snapshot, keep)
 
 
 PROTECTIONS = {
-    "a new file is synced before it is renamed": (disk_module.Disk, {"put": put_unsynced}),
-    "the folder is synced after a rename": (disk_module.Disk, {"put": put_unnamed}),
+    "a new file is synced before it is renamed": (disk_module.Disk, {"put": put_without_file_sync}),
+    "the folder is synced after a rename": (disk_module.Disk, {"put": put_without_directory_sync}),
     "a file is replaced by a rename": (disk_module.Disk, {"put": put_in_place}),
     "an append is synced": (disk_module.Disk, {"sync": lambda self, name: None}),
     "names are synced at opening": (disk_module.Disk, {"sync_directory": lambda self: None}),
-    "the entries of one put are one frame": (disk_log.PartLog, {"put": put_one_by_one}),
+    "the entries of one put are one frame": (disk_log.PartLog, {"put": put_frame_per_entry}),
     "old files are removed last": (disk_log.PartLog, {"put_snapshot": put_snapshot_removing_first}),
 }
 
 
 @pytest.mark.parametrize("name", PROTECTIONS)
-def test_without_the_protection_a_loss_of_power_is_seen(name, monkeypatch):
-    leader, changes = PROTECTIONS[name]
+def test_without_the_protection_a_power_loss_breaks_the_log(name, monkeypatch):
+    target, changes = PROTECTIONS[name]
     states = log_crashes.states_during(log_crashes.SCRIPT)
     for attribute, value in changes.items():
-        monkeypatch.setattr(leader, attribute, value)
+        monkeypatch.setattr(target, attribute, value)
     with pytest.raises((AssertionError, disk_module.DiskCorruptionError)):
         for interruption in log_crashes.interruptions(log_crashes.SCRIPT, states=states):
             log_crashes.check_interruption(interruption)
 
 
-def test_without_a_new_file_at_opening_a_failed_sync_is_believed(monkeypatch):
+def test_without_a_new_file_at_opening_data_of_a_failed_sync_is_trusted(monkeypatch):
     monkeypatch.setattr(disk_log.PartLog, "read_segment", log_crashes.read_segment_in_place)
     with pytest.raises((AssertionError, disk_module.DiskCorruptionError)):
         for interruption in log_crashes.interruptions(log_crashes.SCRIPT, lambda: OSError(errno.EIO, "refused")):
             log_crashes.check_interruption(interruption)
 
 
-def test_without_refusing_after_a_fault_a_later_write_is_lost(monkeypatch):
-    """The full disk leaves a part of a frame; the next one, acknowledged, stands behind it."""
+def test_without_refusing_writes_after_an_error_a_later_write_is_lost(monkeypatch):
+    """A full disk leaves a partial frame, after which the next acknowledged frame is written."""
     folder = volatile_folder.VolatileFolder()
     log = log_crashes.open_log(folder)
     log.put([log_crashes.entry(1)])
--- a/tests/test_disk_walks.py
+++ b/tests/test_disk_walks.py
@@ -1,7 +1,7 @@
-"""Random walks over a part's log on a disk that fails: what was acknowledged is always there.
+"""Random operations on a part's log on a failing disk never lose an acknowledged write.
 
-Beside the exhaustive tests of one script (test_disk_crashes): any writes in any order,
-several faults and losses of power after each other, shrunk by hypothesis when one breaks.
+Complements the exhaustive tests of one script (test_disk_crashes): any writes in any order
+with several errors and power losses in sequence; hypothesis shrinks failing examples.
 """
 
 import errno
@@ -26,18 +26,18 @@
     max_examples=200,
     stateful_step_count=25,
 )
-# stops at the first walk that breaks; which one that is depends on the modules loaded
+# stops at the first failing example, which depends on the modules loaded
 UNSHRUNK_SETTINGS = hypothesis.settings(
     SETTINGS, max_examples=2000, phases=[hypothesis.Phase.generate], print_blob=False
 )
 
 
 class Killed(volatile_folder.PowerLost):
-    """The process is stopped at a call, and the machine keeps its power."""
+    """The process is killed at a call, and the machine keeps its power."""
 
 
 class LogWalk(stateful.RuleBasedStateMachine):
-    """Keeps the state last acknowledged, and the one that a failed write may have reached."""
+    """Compares the log with the last acknowledged state, or the one that a failed write may have reached."""
 
     def __init__(self):
         super().__init__()
@@ -49,12 +49,12 @@
     def teardown(self):
         constants.LOG_SEGMENT_BYTES, constants.MAX_RETAINED_LOG_BYTES = self.segment_bytes, self.kept_bytes
 
-    # --- writes, whole or interrupted ----------------------------------------
+    # --- writes, complete or interrupted ----------------------------------------
     def interrupt(self, at, make_error):
         self.folder.before_step = log_crashes.ErrorAtCall(at, make_error) if make_error else lambda step, name: None
 
     def expected_after(self, method, args):
-        """The state after this write on a disk without faults."""
+        """The state after this write on a disk without errors."""
         copy = log_crashes.folder_with_files({name: self.folder.read(name) for name in self.folder.names()})
         log = log_crashes.open_log(copy)
         getattr(log, method)(*args)
@@ -103,7 +103,7 @@
 
     @stateful.rule(random=random_sources)
     def fail_a_sync(self, random):
-        """An append's sync fails, the log is opened again, and later the power goes."""
+        """The sync of an append fails, the log is reopened, and later power is lost."""
         first = self.log.last + 1
         entries = [log_crashes.entry(first, max(self.log.term, self.log.last_term))]
         self.write("put", (entries,), 2, lambda: OSError(errno.EIO, ""), random)
@@ -128,7 +128,7 @@
             snapshot = log_crashes.snapshot(index, self.log.term + 1)
             self.write("put_snapshot", (snapshot, index), at, fault, self.random)
 
-    # --- the process or the power goes between writes -------------------------
+    # --- kill or power loss between writes -------------------------
     @stateful.initialize(random=random_sources)
     def set_random(self, random):
         self.random = random
@@ -144,7 +144,7 @@
 
     @stateful.rule(at=STEPS, fault=faults, power_lost=strategies.booleans(), random=random_sources)
     def interrupt_opening(self, at, fault, power_lost, random):
-        """An opening is interrupted, then the power may go as well."""
+        """Opening the log is interrupted, after which power may be lost too."""
         self.interrupt(at, fault)
         log_crashes.run_script([], self.folder)
         self.interrupt(0, None)
@@ -157,7 +157,7 @@
         self.log = log_crashes.open_log(self.folder)
         assert log_crashes.state(self.log) == expected
 
-    # --- always ----------------------------------------------------------------
+    # --- invariants ----------------------------------------------------------------
     @stateful.invariant()
     def sizes_fit(self):
         sizes = [self.log.entry_bytes(entry["i"]) for entry in self.log.entries]
@@ -166,12 +166,12 @@
         assert self.log.bytes_since_snapshot == sum(len(self.folder.read(name)) for name in written)
 
 
-def test_any_writes_faults_and_losses_of_power():
+def test_random_writes_errors_and_power_losses():
     stateful.run_state_machine_as_test(LogWalk, settings=SETTINGS)
 
 
 @pytest.mark.parametrize(
-    ("leader", "changes"),
+    ("target", "changes"),
     [
         (disk_module.Disk, {"sync": lambda self, name: None}),
         (disk_module.Disk, {"sync_directory": lambda self: None}),
@@ -179,8 +179,8 @@
     ],
     ids=["no sync", "no sync of names at opening", "segment read in place"],
 )
-def test_a_walk_finds_what_a_missing_protection_loses(leader, changes, monkeypatch):
+def test_random_writes_reveal_a_missing_protection(target, changes, monkeypatch):
     for attribute, value in changes.items():
-        monkeypatch.setattr(leader, attribute, value)
+        monkeypatch.setattr(target, attribute, value)
     with pytest.raises((AssertionError, disk_module.DiskError)):
         stateful.run_state_machine_as_test(LogWalk, settings=UNSHRUNK_SETTINGS)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Connections that rest are closed in order, nothing is lost by it, and one thread carries however many there are."""
+"""Idle connections are closed gracefully without losing records, and one thread serves any number of them."""
 
 import dataclasses
 import json
@@ -25,7 +25,7 @@
         yield make
 
 
-def test_a_connection_that_rests_is_closed_in_order_and_comes_back_with_the_next_record(make_node):
+def test_an_idle_connection_is_closed_gracefully_and_opened_again_by_the_next_record(make_node):
     clock = peer_nodes.Clock()
     one, two = make_node(clock), make_node(clock)
     one.send(two.address, 1)
@@ -38,7 +38,7 @@
     assert two.received == [(one.address, 1), (one.address, 2)]
 
 
-def test_a_connection_in_use_stays(make_node):
+def test_a_connection_in_use_stays_open(make_node):
     clock = peer_nodes.Clock()
     one, two = make_node(clock), make_node(clock)
     for mark in range(1, 6):
@@ -50,23 +50,23 @@
     assert one.count("opened") == 1 and one.links() == 1
 
 
-def test_what_is_sent_while_the_other_side_closes_still_arrives(make_node):
+def test_a_record_sent_while_the_peer_closes_still_arrives(make_node):
     node = make_node()
     with peer_nodes.raw_peer(node) as conn:
         node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
-        assert conn.recv(1) == b""  # it has shut its direction
+        assert conn.recv(1) == b""  # the node has shut down its sending direction
         conn.sendall(peer_nodes.packed(2))
         node.wait_for(2)
-        assert node.links() == 1  # it reads on until this side ends too
+        assert node.links() == 1  # it keeps reading until this side closes too
         conn.shutdown(socket.SHUT_WR)
         peer_nodes.wait_until(lambda: node.links() == 0)
     assert node.count("closed") == 1
 
 
-def test_what_is_queued_when_the_other_side_closes_still_goes_out(make_node):
+def test_output_queued_when_the_peer_closes_is_still_sent(make_node):
     node = make_node()
     with peer_nodes.raw_peer(node) as conn:
-        text = "x" * 4_000_000  # more than both sockets hold
+        text = "x" * 4_000_000  # more than both socket buffers hold
         node.peers.send(peer_nodes.RAW_PEER, "paid", request=text, replica="i")
         conn.shutdown(socket.SHUT_WR)
         peer_nodes.wait_until(lambda: peer_nodes.RAW_PEER not in node.loop.table.by_peer)
@@ -77,14 +77,14 @@
     assert node.count("closed") == 1 and node.count("lost") == 0
 
 
-def test_two_that_close_at_once_both_end(make_node):
+def test_two_sides_that_close_at_the_same_time_both_finish(make_node):
     clock = peer_nodes.Clock()
     one, two = make_node(clock), make_node(clock)
     one.send(two.address, 1)
     two.wait_for(1)
     two.send(one.address, 2)
     one.wait_for(1)
-    with one.loop.table.lock, two.loop.table.lock:  # neither hears of the other's end before its own
+    with one.loop.table.lock, two.loop.table.lock:  # neither side sees the other's close before its own
         for node in (one, two):
             link = next(iter(node.loop.table.links))
             node.loop.table.stop_using(link)
@@ -93,7 +93,7 @@
     assert one.count("lost") == two.count("lost") == 0
 
 
-def test_a_side_that_never_ends_is_given_up(make_node):
+def test_a_peer_that_never_finishes_closing_times_out(make_node):
     node = make_node()
     with peer_nodes.raw_peer(node):
         node.clock.seconds += transport_constants.PEER_IDLE_TIMEOUT_S + 0.1
@@ -115,15 +115,15 @@
 
 @dataclasses.dataclass
 class Counts:
-    """What a node in a process of its own had, by the end of its connections."""
+    """What a node in its own process had when its connections were closed."""
 
     links: int
     new_threads: list[str]
     descriptors_closed: int
 
 
-def meet_nodes(count):
-    """Let a node meet so many others, and close in order; the Counts."""
+def connect_nodes(count):
+    """Connect `count` peers to a node and close them gracefully; returns the Counts."""
     with peer_nodes.nodes() as make:
         node = make()
         threads, conns = set(threading.enumerate()), []
@@ -152,13 +152,13 @@
 
 
 def in_own_process(count):
-    """The Counts of a process that holds nothing else: other tests' threads and sockets come and go."""
-    call = f"import tests.test_links as t; print(t.json.dumps(t.dataclasses.asdict(t.meet_nodes({count}))))"
+    """The Counts from a separate process, which threads and sockets of other tests cannot disturb."""
+    call = f"import tests.test_links as t; print(t.json.dumps(t.dataclasses.asdict(t.connect_nodes({count}))))"
     done = subprocess.run([sys.executable, "-c", call], cwd=ROOT, capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stderr
     return Counts(**json.loads(done.stdout))
 
 
 @pytest.mark.parametrize("count", [50, 200, 400])
-def test_threads_do_not_depend_on_how_many_nodes_are_met(count):
+def test_the_number_of_threads_does_not_depend_on_the_number_of_connections(count):
     assert in_own_process(count) == Counts(links=count, new_threads=[], descriptors_closed=count)
--- a/tests/test_open_disk.py
+++ b/tests/test_open_disk.py
@@ -1,4 +1,4 @@
-"""A keeper that starts while its disk refuses writes waits for it; a folder that is none ends the start."""
+"""A keeper that starts while its disk refuses writes waits; a path that is not a folder ends the start."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 import mothshed.storage.disk as disk_module
 
 
-def test_a_start_waits_for_a_disk_that_refuses(tmp_path, monkeypatch):
+def test_startup_waits_for_a_disk_that_refuses_writes(tmp_path, monkeypatch):
     refusals, pauses = [True] * 3, []
 
     def sleep(seconds):
         pauses.append(seconds)
-        assert len(pauses) < 10, "the disk goes on refusing"
+        assert len(pauses) < 10, "the start still waits after the disk accepts writes"
 
     put = disk_module.Disk.put
 
@@ -28,7 +28,7 @@
     assert disk.read("probe") == b"."
 
 
-def test_a_folder_that_cannot_be_had_is_a_fault(tmp_path):
+def test_a_folder_that_cannot_be_created_is_a_disk_error(tmp_path):
     (tmp_path / "data").write_text("a file in its place")
     with pytest.raises(disk_module.DiskError):
         serving.open_disk(str(tmp_path / "data"))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Records between processes on real sockets: both directions, order, size, renewal, peers that are not there."""
+"""Records on real sockets: both directions, order, large records, reconnecting, and unreachable peers."""
 
 import socket
 import threading
@@ -38,7 +38,7 @@
     assert [mark for _, mark in two.received] == list(range(300))
 
 
-def test_a_record_larger_than_the_socket_takes_goes_out_in_pieces(make_node):
+def test_a_record_larger_than_the_socket_buffer_is_sent_in_pieces(make_node):
     one, two = make_node(), make_node()
     text, received = "x" * 4_000_000, threading.Event()
     two.peers.subscribe("paid", None, lambda sender, body: received.set() if body["request"] == text else None)
@@ -48,7 +48,7 @@
     assert received.is_set()
 
 
-def test_a_lost_connection_is_made_anew(make_node):
+def test_a_lost_connection_is_opened_again(make_node):
     one, two = make_node(), make_node()
     one.send(two.address, 1)
     two.wait_for(1)
@@ -59,7 +59,7 @@
     assert one.count("opened") == 2
 
 
-def test_silence_ends_a_connection_early_on_both_sides(make_node):
+def test_both_sides_set_the_socket_options_that_detect_a_silent_peer(make_node):
     node = make_node()
     with socket.create_connection(link_module.parse_address(node.address), 5) as conn:
         conn.sendall(records.pack("hello", address="127.0.0.1:1") + peer_nodes.packed(1))
@@ -74,7 +74,7 @@
             assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
 
 
-def test_a_peer_that_cannot_be_reached_is_not_tried_for_each_record(make_node):
+def test_an_unreachable_peer_is_not_retried_for_each_record(make_node):
     node = make_node()
     gone = f"127.0.0.1:{fleet.free_port('127.0.0.1')}"
     node.send(gone, 1)
@@ -87,11 +87,11 @@
     assert node.count("opened") == 2
 
 
-def test_a_peer_that_does_not_answer_a_connect_is_given_up(make_node):
+def test_a_connect_without_response_times_out(make_node):
     node = make_node()
     with socket.create_server(("127.0.0.1", 0), backlog=0) as full:
         address = f"127.0.0.1:{full.getsockname()[1]}"
-        waiting = [socket.socket() for _ in range(3)]  # the queue of a listener that accepts nothing
+        waiting = [socket.socket() for _ in range(3)]  # fill the backlog of a listener that accepts nothing
         for sock in waiting:
             sock.setblocking(False)
             sock.connect_ex(full.getsockname())
@@ -117,7 +117,7 @@
         assert latter.recv(1000) == peer_nodes.packed(3, 0)
 
 
-def test_a_receiver_that_fails_costs_neither_the_connection_nor_the_thread(make_node):
+def test_an_exception_in_a_receiver_stops_neither_the_connection_nor_the_thread(make_node):
     node = make_node()
     node.peers.subscribe("paid", None, lambda sender, body: 1 / 0)
     with socket.create_connection(link_module.parse_address(node.address), 5) as conn:
@@ -127,7 +127,7 @@
     assert node.count("record_fault") == 0
 
 
-def test_a_record_for_several_is_packed_once_and_reaches_each(make_node, monkeypatch):
+def test_a_record_for_several_peers_is_packed_once_and_reaches_each(make_node, monkeypatch):
     one, others = make_node(), [make_node() for _ in range(3)]
     packed, real = [], records.Codec.pack
 
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -1,4 +1,4 @@
-"""Two releases side by side: records and data folders of earlier ones are read, later ones are passed over."""
+"""Compatibility of releases: records and data folders of earlier ones are read, unknown later parts are skipped."""
 
 import json
 import pathlib
@@ -33,7 +33,7 @@
 
 
 def table_of(rows):
-    """The kinds that a release wrote down."""
+    """The kinds in the recorded table of a release."""
     return [record_kinds.kind(row["number"], name, row["fields"], row["since"]) for name, row in rows.items()]
 
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("release", RECORDED)
-def test_a_record_for_an_earlier_release_is_packed_as_it_packed_it(release):
+def test_a_record_for_an_earlier_release_is_packed_as_that_release_packs_it(release):
     number = int(release.split("-")[1])
     for name, row in RECORDED[release].items():
         assert records.CODEC.pack(name, row["body"], number).hex() == row["packed"]
@@ -73,20 +73,20 @@
     }
 
 
-def test_fields_and_kinds_of_a_later_release_are_passed_over():
+def test_fields_and_kinds_of_a_later_release_are_skipped():
     body = RECORDED["records-1"]["append"]["body"]
     record = records.CODEC.unpack(NEXT.pack("append", {**body, "sent_at": 4.5, "note": ["x"]}))
     assert record == records.Record("append", body, has_unknown_fields=True)
     assert records.CODEC.unpack(NEXT.pack("pulse", {"part": 0, "mark": 1})) == records.Record("", {})
 
 
-def test_a_later_release_takes_the_defaults_of_what_this_one_does_not_send():
+def test_a_later_release_uses_defaults_for_fields_that_this_one_does_not_send():
     body = RECORDED["records-1"]["append"]["body"]
     record = NEXT.unpack(records.CODEC.pack("append", body))
     assert record.body == {**body, "sent_at": 0.0, "note": None}
 
 
-def test_a_body_that_ends_within_its_fields_is_a_fault_still():
+def test_a_truncated_body_is_an_error():
     data = records.pack("hand", part=0, term=1, who="a/1")
     cut = data[records.HEADER.size : -1]
     head = records.HEADER.pack(records.MAGIC, records.CODEC.by_name["hand"].number, len(cut), records.zlib.crc32(cut))
@@ -107,7 +107,7 @@
         yield make
 
 
-def test_a_connection_lives_on_over_records_of_a_later_release(make_node):
+def test_a_connection_stays_open_after_records_of_a_later_release(make_node):
     node = make_node()
     with socket.create_connection(link_module.parse_address(node.address), 5) as conn:
         hello = NEXT.pack("hello", {"address": "127.0.0.1:1", "release": NEXT_RELEASE})
@@ -117,8 +117,8 @@
         assert node.loop.table.release_of("127.0.0.1:1") == NEXT_RELEASE
 
 
-def test_a_peer_of_the_release_before_the_rule_is_told_what_it_can_read(make_node):
-    """It closes at a hello with a further field, as its parser did; then it gets the hello that it knows."""
+def test_a_peer_that_cannot_skip_unknown_fields_is_sent_the_oldest_format(make_node):
+    """Such a peer closes the connection at a hello with a later field; then it is sent the oldest hello."""
     node = make_node()
     with socket.create_server(("127.0.0.1", 0)) as server:
         server.settimeout(peer_nodes.TIMEOUT_S)
@@ -137,7 +137,9 @@
             with conn.makefile("rb") as stream:
                 assert stream.read(len(expected)) == expected
     node.clock.seconds += transport_constants.PEER_FALLBACK_S + 0.1
-    assert node.loop.table.release_of(address) is None  # upgraded meanwhile, it is told all again
+    assert (
+        node.loop.table.release_of(address) is None
+    )  # it may have been upgraded, so this release's hello is tried again
 
 
 def copied_folder(tmp_path, release):
@@ -146,7 +148,7 @@
     return disk_module.Disk(str(folder))
 
 
-def test_the_data_folder_of_the_release_before_is_read(tmp_path):
+def test_the_data_folder_of_an_earlier_release_is_read(tmp_path):
     expected = json.loads((FOLDER / "data-0.json").read_text())
     disk = copied_folder(tmp_path, 0)
     assert disk.read("incarnation").decode() == expected["incarnation"]
@@ -161,7 +163,7 @@
     assert json.loads(json.dumps(machine.dump())) == expected["state"]
 
 
-def test_what_this_release_writes_into_that_folder_is_read_again(tmp_path):
+def test_writes_into_the_folder_of_an_earlier_release_are_read_back(tmp_path):
     disk = copied_folder(tmp_path, 0)
     log = disk_log.PartLog(disk, 0)
     log.put([{"i": log.last + 1, "t": log.term, "c": {"op": "begin", "who": "a"}}])
@@ -178,13 +180,13 @@
         log_format.decode_header(kind, json.dumps({"generation": 1}))
 
 
-def test_a_rolling_upgrade_meets_records_of_both_releases():
+def test_a_rolling_upgrade_exchanges_records_of_both_releases():
     broken, fleet = simulate.one("upgraded_and_back", 3)
     assert broken == {} and fleet.net.passed_over > 100 and not fleet.net.codecs
 
 
-def test_the_upgrade_breaks_where_what_is_later_is_refused(monkeypatch):
-    """As it was before the rule: a record that the reader does not know in full is a fault, and is lost."""
+def test_the_upgrade_fails_if_unknown_fields_are_rejected(monkeypatch):
+    """As in the oldest release: a record with fields unknown to the receiver is an error and is lost."""
 
     def strict(codec, data, unpack=records.Codec.unpack):
         record = unpack(codec, data)
@@ -195,7 +197,7 @@
 
 
 def test_a_member_stops_at_a_command_of_a_later_release():
-    """A release that was put back must not lead, vote or serve with a state that lacks what the others applied."""
+    """A downgraded member must not lead, vote or serve with a state that lacks what the others applied."""
     group = group_model.Group(3, 1)
     group.converge()
     leader = next(member for member in group.members.values() if member.is_leader)
--- a/tests/test_version_reports.py
+++ b/tests/test_version_reports.py
@@ -1,4 +1,4 @@
-"""Logs tell when each process took up a version, and why no lease ran."""
+"""Log lines report when each process took up a version, and why no lease was valid."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def written(monkeypatch):
-    """Everything that would be kept or written: its kind and fields."""
+    """The kind and fields of every log line, whether buffered or written."""
     rows = []
     monkeypatch.setattr(log_buffer, "note", lambda kind, **fields: rows.append((kind, fields)))
     return rows
@@ -21,7 +21,7 @@
     return [fields for name, fields in rows if name == kind]
 
 
-def test_a_router_tells_when_it_took_up_a_version(written):
+def test_a_router_logs_when_a_version_takes_effect(written):
     pool, duty, _leases = lease_state.deployment(1)
     duty.machine.apply(0, lease_state.stage(1, 2, "order 1"))
     pool.deliver(0)  # the document
@@ -33,7 +33,7 @@
     assert [row["sequence"] for row in of_kind(written, "version_activated")] == [2]
 
 
-def test_a_storm_of_versions_leaves_the_allowance_of_other_reports_alone(written):
+def test_a_burst_of_versions_does_not_use_up_the_rate_limit_of_other_reports(written):
     pool, duty, _leases = lease_state.deployment(1)
     written.clear()
     for base in range(1, 60):
@@ -45,7 +45,7 @@
     assert sum(row["report"] for row in taken_up) <= constants.MAX_VERSION_REPORT_BURST_LINES + 1
 
 
-def test_the_leader_names_who_had_not_staged_what_it_activates(written):
+def test_the_leader_logs_which_routers_had_not_staged_an_activated_version(written):
     pool, duty, _leases = lease_state.deployment(2)
     duty.machine.apply(0, lease_state.stage(1, 2, "order 1"))
     pool.waiting = [row for row in pool.waiting if row[0] != "r:1"]
@@ -57,7 +57,7 @@
     assert row["sequence"] == 2 and row["without"] == ["r:1"] and row["after_s"] >= constants.LONG_LEASE_S
 
 
-def test_the_leader_tells_once_that_it_grants_no_older_lease(written):
+def test_the_leader_logs_once_that_it_grants_no_older_lease(written):
     pool, duty, leases = lease_state.deployment(1)
     duty.machine.apply(0, lease_state.stage(1, 2, "order 1"))
     pool.waiting.clear()
@@ -70,7 +70,7 @@
     assert (row["latest"], row["active"], row["without"]) == (2, 1, ["r:0"])
 
 
-def test_a_lease_that_is_back_tells_what_became_of_the_asks(written):
+def test_a_regained_lease_logs_the_outcome_of_its_requests(written):
     pool = all_orders.Pool()
     lease = lease_module.Lease(all_orders.ManualEnvironment(pool, "r:1"), lambda: ["a:1"])
     lease.request_lease()
