--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -31,14 +31,14 @@
     one.put([entry(1)])
     before = len(last_segment(tmp_path).read_bytes())
     one.put([entry(2), entry(3)])
-    whole = last_segment(tmp_path).read_bytes()
-    for cut in range(1, len(whole) - before + 1):
-        last_segment(tmp_path).write_bytes(whole[:-cut])
+    content = last_segment(tmp_path).read_bytes()
+    for cut in range(1, len(content) - before + 1):
+        last_segment(tmp_path).write_bytes(content[:-cut])
         two = log(tmp_path)
         assert (two.last, two.term, two.vote) == (1, 3, "a/1")
         two.put([entry(2)])
         assert log(tmp_path).last == 2
-        last_segment(tmp_path).write_bytes(whole)
+        last_segment(tmp_path).write_bytes(content)
     assert log(tmp_path).last == 3
 
 
@@ -47,12 +47,12 @@
     for index in (1, 2, 3):
         one.put([entry(index)])
         ends.append(len(last_segment(tmp_path).read_bytes()))
-    whole = last_segment(tmp_path).read_bytes()
+    content = last_segment(tmp_path).read_bytes()
     for at in range(ends[1]):
-        last_segment(tmp_path).write_bytes(whole[:at] + bytes([whole[at] ^ 0xFF]) + whole[at + 1 :])
+        last_segment(tmp_path).write_bytes(content[:at] + bytes([content[at] ^ 0xFF]) + content[at + 1 :])
         with pytest.raises(disk.DiskCorruptionError):
             log(tmp_path)
-    torn = whole[: ends[0] + 11] + whole[ends[0] + 20 :]  # a partly written frame, followed by a later one
+    torn = content[: ends[0] + 11] + content[ends[0] + 20 :]  # a partly written frame, followed by a later one
     last_segment(tmp_path).write_bytes(torn)
     with pytest.raises(disk.DiskCorruptionError):
         log(tmp_path)
@@ -152,8 +152,8 @@
 
 
 def test_a_member_that_cannot_write_stops_and_reports_it_once():
-    told, pool = [], all_orders.Pool()
-    seat = member.Member(
+    reported_states, pool = [], all_orders.Pool()
+    failing_member = member.Member(
         all_orders.ManualEnvironment(pool, "a:1"),
         all_orders.disk(),
         0,
@@ -162,14 +162,14 @@
         ["a:1"],
         types.SimpleNamespace(apply=None),
     )
-    seat.disk_fault_callback = lambda: told.append(seat.chart.state)
+    failing_member.disk_fault_callback = lambda: reported_states.append(failing_member.chart.state)
 
     def fail(*rest):
         raise disk.DiskError("no space")
 
     for _ in range(2):
-        seat.handle_disk_faults(fail)()
-    assert told == ["stopped"]
+        failing_member.handle_disk_faults(fail)()
+    assert reported_states == ["stopped"]
 
 
 def test_the_faulty_disk_of_the_fleet_tests_fails_as_its_faults_file_says(tmp_path):
--- a/tests/test_disk_crashes.py
+++ b/tests/test_disk_crashes.py
@@ -31,8 +31,8 @@
             files = folder.durable_state()
             found = log_crashes.state(log_crashes.open_log(folder))
             start = functools.partial(log_crashes.folder_with_files, files)
-            for again in log_crashes.interruptions([], start=start, states=[found, found]):
-                log_crashes.check_interruption(again)
+            for second_interruption in log_crashes.interruptions([], start=start, states=[found, found]):
+                log_crashes.check_interruption(second_interruption)
 
 
 def test_a_log_opens_after_a_kill_during_a_write_and_a_kill_during_opening(segment_bytes):
@@ -73,12 +73,12 @@
 
 def test_a_disk_that_fills_up_at_any_byte_keeps_acknowledged_writes(segment_bytes):
     states = log_crashes.states_during(log_crashes.SCRIPT)
-    for room in itertools.count():
+    for free_bytes in itertools.count():
         folder = volatile_folder.VolatileFolder()
-        folder.room = room
-        _, done, whole = log_crashes.run_script(log_crashes.SCRIPT, folder)
+        folder.room = free_bytes
+        _, done, finished = log_crashes.run_script(log_crashes.SCRIPT, folder)
         folder.room = None
-        if whole:
+        if finished:
             return
         found = log_crashes.open_log(folder)
         assert log_crashes.state(found) in states[done : done + 2]
--- a/tests/test_disk_damage.py
+++ b/tests/test_disk_damage.py
@@ -16,7 +16,7 @@
     monkeypatch.setattr(constants, "LOG_SEGMENT_BYTES", request.param)
 
 
-def finished():
+def run_whole_script():
     """A folder after running the script, every file that existed during it by name, and the log state."""
     folder, files = volatile_folder.VolatileFolder(), {}
     log = log_crashes.open_log(folder)
@@ -31,20 +31,20 @@
 
 
 def test_any_subset_of_removed_files_may_reappear(segment_bytes):
-    folder, files, expected = finished()
+    folder, files, expected = run_whole_script()
     live = {name: folder.read(name) for name in folder.names()}
     removed = sorted(set(files) - set(live))
     assert len(removed) >= 6
     subsets = itertools.product([False, True], repeat=len(removed))
-    for kept in itertools.islice(subsets, 4096):
-        back = {name: files[name] for name in itertools.compress(removed, kept)}
-        found = log_crashes.folder_with_files({**live, **back})
+    for selected in itertools.islice(subsets, 4096):
+        reappeared = {name: files[name] for name in itertools.compress(removed, selected)}
+        found = log_crashes.folder_with_files({**live, **reappeared})
         assert log_crashes.state(log_crashes.open_log(found)) == expected
         assert found.names() == sorted(live)  # and they are removed again
 
 
 def test_temporary_files_of_any_content_are_removed_without_being_read():
-    folder, files, expected = finished()
+    folder, files, expected = run_whole_script()
     live = {name: folder.read(name) for name in folder.names()}
     for name, content in files.items():
         for data in (b"", content[: len(content) // 2], content, b"\0" * 40):
@@ -54,7 +54,7 @@
 
 
 def test_a_live_file_that_is_missing_or_empty_is_corruption(segment_bytes):
-    folder, _, _ = finished()
+    folder, _, _ = run_whole_script()
     live = {name: folder.read(name) for name in folder.names()}
     last = last_segment(live)
     for name in live:
--- a/tests/test_disk_walks.py
+++ b/tests/test_disk_walks.py
@@ -36,7 +36,7 @@
     """The process is killed at a call, and the machine keeps its power."""
 
 
-class LogWalk(stateful.RuleBasedStateMachine):
+class LogOperations(stateful.RuleBasedStateMachine):
     """Compares the log with the last acknowledged state, or the one that a failed write may have reached."""
 
     def __init__(self):
@@ -82,7 +82,7 @@
         with pytest.raises(disk_module.DiskError):
             self.log.put([log_crashes.entry(self.log.last + 1)])
 
-    faults = strategies.sampled_from(
+    error_makers = strategies.sampled_from(
         [
             None,
             None,
@@ -94,12 +94,18 @@
     )
     random_sources = strategies.randoms(use_true_random=False)
 
-    @stateful.rule(back=strategies.integers(0, 3), count=strategies.integers(1, 4), text=TEXTS, at=STEPS, fault=faults)
-    def put(self, back, count, text, at, fault):
-        first = max(self.log.base + 1, self.log.last + 1 - back)
+    @stateful.rule(
+        overwritten=strategies.integers(0, 3),
+        count=strategies.integers(1, 4),
+        text=TEXTS,
+        at=STEPS,
+        make_error=error_makers,
+    )
+    def put(self, overwritten, count, text, at, make_error):
+        first = max(self.log.base + 1, self.log.last + 1 - overwritten)
         term = max(self.log.term, self.log.last_term)
         entries = [log_crashes.entry(first + n, term, text) for n in range(count)]
-        self.write("put", (entries,), at, fault, self.random)
+        self.write("put", (entries,), at, make_error, self.random)
 
     @stateful.rule(random=random_sources)
     def fail_a_sync(self, random):
@@ -109,24 +115,26 @@
         self.write("put", (entries,), 2, lambda: OSError(errno.EIO, ""), random)
         self.lose_power(random)
 
-    @stateful.rule(vote=strategies.sampled_from(["", "a/1", "b/1"]), at=STEPS, fault=faults)
-    def put_term(self, vote, at, fault):
-        self.write("put_term", (self.log.term + 1, vote), at, fault, self.random)
+    @stateful.rule(vote=strategies.sampled_from(["", "a/1", "b/1"]), at=STEPS, make_error=error_makers)
+    def put_term(self, vote, at, make_error):
+        self.write("put_term", (self.log.term + 1, vote), at, make_error, self.random)
 
-    @stateful.rule(below=strategies.integers(0, 3), behind=strategies.integers(0, 3), at=STEPS, fault=faults)
-    def put_snapshot(self, below, behind, at, fault):
+    @stateful.rule(
+        below=strategies.integers(0, 3), retained=strategies.integers(0, 3), at=STEPS, make_error=error_makers
+    )
+    def put_snapshot(self, below, retained, at, make_error):
         index = max(self.log.base, self.log.last - below)
         if index == 0 or (self.log.snapshot and index < self.log.snapshot["index"]):
             return
         snapshot = log_crashes.snapshot(index, self.log.term_at(index))
-        self.write("put_snapshot", (snapshot, index - behind), at, fault, self.random)
+        self.write("put_snapshot", (snapshot, index - retained), at, make_error, self.random)
 
-    @stateful.rule(ahead=strategies.integers(0, 3), at=STEPS, fault=faults)
-    def put_snapshot_of_another_member(self, ahead, at, fault):
+    @stateful.rule(ahead=strategies.integers(0, 3), at=STEPS, make_error=error_makers)
+    def put_snapshot_of_another_member(self, ahead, at, make_error):
         index = self.log.last + ahead
         if index:
             snapshot = log_crashes.snapshot(index, self.log.term + 1)
-            self.write("put_snapshot", (snapshot, index), at, fault, self.random)
+            self.write("put_snapshot", (snapshot, index), at, make_error, self.random)
 
     # --- kill or power loss between writes -------------------------
     @stateful.initialize(random=random_sources)
@@ -142,10 +150,10 @@
         self.folder.lose_power(random)
         self.reopen()
 
-    @stateful.rule(at=STEPS, fault=faults, power_lost=strategies.booleans(), random=random_sources)
-    def interrupt_opening(self, at, fault, power_lost, random):
+    @stateful.rule(at=STEPS, make_error=error_makers, power_lost=strategies.booleans(), random=random_sources)
+    def interrupt_opening(self, at, make_error, power_lost, random):
         """Opening the log is interrupted, after which power may be lost too."""
-        self.interrupt(at, fault)
+        self.interrupt(at, make_error)
         log_crashes.run_script([], self.folder)
         self.interrupt(0, None)
         if power_lost:
@@ -167,7 +175,7 @@
 
 
 def test_random_writes_errors_and_power_losses():
-    stateful.run_state_machine_as_test(LogWalk, settings=SETTINGS)
+    stateful.run_state_machine_as_test(LogOperations, settings=SETTINGS)
 
 
 @pytest.mark.parametrize(
@@ -183,4 +191,4 @@
     for attribute, value in changes.items():
         monkeypatch.setattr(target, attribute, value)
     with pytest.raises((AssertionError, disk_module.DiskError)):
-        stateful.run_state_machine_as_test(LogWalk, settings=UNSHRUNK_SETTINGS)
+        stateful.run_state_machine_as_test(LogOperations, settings=UNSHRUNK_SETTINGS)
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("release", RECORDED)
 def test_the_table_changed_only_as_the_rules_allow(release):
-    former = table_of(RECORDED[release])
+    earlier_kinds = table_of(RECORDED[release])
     number = int(release.split("-")[1])
     for later in range(number + 1, transport_constants.RECORD_FORMAT_VERSION + 1):
         fields_then = [
@@ -62,9 +62,9 @@
             for row in record_kinds.KINDS
             if row.since <= later
         ]
-        assert record_kinds.schema_violations(former, fields_then, later) == []
-        former = fields_then
-    assert former == list(record_kinds.KINDS)
+        assert record_kinds.schema_violations(earlier_kinds, fields_then, later) == []
+        earlier_kinds = fields_then
+    assert earlier_kinds == list(record_kinds.KINDS)
 
 
 def test_this_release_has_its_own_file():
@@ -167,8 +167,8 @@
     disk = copied_folder(tmp_path, 0)
     log = disk_log.PartLog(disk, 0)
     log.put([{"i": log.last + 1, "t": log.term, "c": {"op": "begin", "who": "a"}}])
-    again = disk_log.PartLog(disk_module.Disk(str(tmp_path / "data")), 0)
-    assert again.last == log.last and again.entries == log.entries
+    reopened = disk_log.PartLog(disk_module.Disk(str(tmp_path / "data")), 0)
+    assert reopened.last == log.last and reopened.entries == log.entries
 
 
 @pytest.mark.parametrize("kind", [log_format.SnapshotHeader, log_format.SegmentHeader])
