--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -7,11 +7,11 @@
 
 import tools.proof_table as proof_table
 import tools.simulate as simulate
-import tools.simulator.days as days
+import tools.simulator.scenarios as scenarios
 import tools.weight as weight
 
 
-@pytest.mark.parametrize("name", list(days.DAYS))
+@pytest.mark.parametrize("name", list(scenarios.SCENARIOS))
 def test_a_day_keeps_every_rule(name):
     broken, fleet = simulate.one(name, 1)
     assert broken == {}
--- a/tests/test_ids.py
+++ b/tests/test_ids.py
@@ -4,7 +4,7 @@
 
 import tools.callers as callers
 import tools.judge as judge
-import tools.simulator.end_of_day as end_of_day
+import tools.simulator.final_checks as final_checks
 import tools.simulator.fleet as sim
 
 
@@ -33,7 +33,7 @@
     assert judge.whole_and_own(fleet.rows, fleet.ledger) == [] and judge.own_memory(fleet.rows, fleet.ledger) == []
     released = [record.get("send") for record in fleet.ledger if record["kind"] == "free"]
     assert len(released) == len(set(released)) == 8
-    assert end_of_day.close(fleet) == {}
+    assert final_checks.close(fleet) == {}
 
 
 def test_every_send_has_a_unique_id_and_the_callers_id_is_returned():
--- a/tests/test_leases_during_changes.py
+++ b/tests/test_leases_during_changes.py
@@ -3,7 +3,7 @@
 import pytest
 
 import mothshed.constants as constants
-import tools.simulator.end_of_day as end_of_day
+import tools.simulator.final_checks as final_checks
 import tools.simulator.fleet as sim
 
 
@@ -34,7 +34,7 @@
     fleet.run(1)
     assert apply_changes(fleet, 30, gap) == []
     assert len(fleet.writes) == 31 and fleet.parts["route-1"].lease.active == 31
-    assert end_of_day.close(fleet) == {}
+    assert final_checks.close(fleet) == {}
 
 
 @pytest.mark.parametrize("gap", [0.05, 0.5])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -7,7 +7,7 @@
 import mothshed.transport.constants as transport_constants
 import mothshed.transport.gossip as gossip
 import tests.all_orders as all_orders
-import tools.simulator.end_of_day as end_of_day
+import tools.simulator.final_checks as final_checks
 import tools.simulator.fleet as sim
 
 NAMES = [f"r{n:03}" for n in range(100)]  # more than fit into the hints of one record
@@ -72,4 +72,4 @@
     f.start("keep-1")
     f.ready()
     f.run(3)
-    assert end_of_day.close(f) == {}
+    assert final_checks.close(f) == {}
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -8,7 +8,7 @@
 import mothshed.runtime.clock as clock
 import tools.proof_table as proof_table
 import tools.simulate as simulate
-import tools.simulator.days as days
+import tools.simulator.scenarios as scenarios
 
 ROOT = pathlib.Path(__file__).parent.parent
 WALL = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow"), ("time", "localtime")}
@@ -18,7 +18,7 @@
     assert proof_table.unknown() == []
     page = (ROOT / "docs" / "proof.md").read_text().splitlines()
     assert [line for line in proof_table.head() + proof_table.protected() if line not in page] == []
-    for day in days.DAYS:
+    for day in scenarios.SCENARIOS:
         cells = [
             line.strip("| ").split(" | ") for line in page if line.split(" | ")[1:2] == [day] and line.count(" | ") > 5
         ]
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -2,7 +2,7 @@
 
 import mothshed.constants as constants
 import tools.simulate as simulate
-import tools.simulator.end_of_day as end_of_day
+import tools.simulator.final_checks as final_checks
 import tools.simulator.fleet as sim
 
 
@@ -50,7 +50,7 @@
     for other in f.names("keep"):
         f.start(other)
     f.run(5)
-    assert end_of_day.close(f) == {}
+    assert final_checks.close(f) == {}
     assert f.parts[name].members[0].machine.latest == latest
 
 
--- a/tools/proof_table.py
+++ b/tools/proof_table.py
@@ -12,7 +12,7 @@
 
 import tools.protections as protections
 import tools.simulate as simulate
-import tools.simulator.days as days
+import tools.simulator.scenarios as scenarios
 import tools.weight as weight
 
 FAILS = {
@@ -108,7 +108,7 @@
 def unknown():
     """Names in the table that no day or test has, and days that the table leaves out."""
     named = {d for names in FAILS.values() for d in names}
-    return sorted((named - set(days.DAYS) - {"test_clocks"}) | (set(days.DAYS) - named))
+    return sorted((named - set(scenarios.SCENARIOS) - {"test_clocks"}) | (set(scenarios.SCENARIOS) - named))
 
 
 def main():
@@ -117,7 +117,7 @@
     args = parser.parse_args()
     if args.jobs < 1:
         parser.error("--jobs: expected at least one")
-    names = [d for many in FAILS.values() for d in many if d in days.DAYS]
+    names = [d for many in FAILS.values() for d in many if d in scenarios.SCENARIOS]
     print("\n".join(head()))
     for day, weights, broken in simulate.many([(n, 1, "patinetes", "brief") for n in names], args.jobs, day_weights):
         print(row(day, weights) + (f" BROKEN {broken}" if broken else ""), flush=True)
--- a/tools/protections.py
+++ b/tools/protections.py
@@ -1,7 +1,7 @@
 """Every protection taken out, one at a time, to see the judge's rule break.
 
 A rule that still holds with its protection gone is not proved by its day. The rows
-of taken_out.py name the protection, how it is taken out, the day that needs it and
+of removed_protections.py name the protection, how it is taken out, the day that needs it and
 the rule that must then break under one of a few seeds.
 
 python -m tools.protections                        each on its own day; what broke
@@ -12,12 +12,12 @@
 import contextlib
 import sys
 
+import tools.removed_protections as removed_protections
 import tools.simulate as simulate
-import tools.simulator.days as days
-import tools.taken_out as taken_out
+import tools.simulator.scenarios as scenarios
 import tools.weakened as weakened
 
-ROWS = taken_out.ROWS
+ROWS = removed_protections.ROWS
 SEEDS = 12
 
 
@@ -45,11 +45,14 @@
 def every_day(jobs, seeds):
     """Each protection taken out on every day: on which of them its rule was at risk."""
     print("| protection taken out | rule | days | broke on |\n|---|---|---|---|")
-    hit, last, missed = [], list(days.DAYS)[-1], 0
-    for name, day, broke in simulate.many([(n, d, seeds) for n in ROWS for d in days.DAYS], jobs, try_day):
+    hit, last, missed = [], list(scenarios.SCENARIOS)[-1], 0
+    for name, day, broke in simulate.many([(n, d, seeds) for n in ROWS for d in scenarios.SCENARIOS], jobs, try_day):
         hit += [day] if broke else []
         if day == last:
-            print(f"| {name} | {ROWS[name][2]} | {len(hit)} of {len(days.DAYS)} | {', '.join(hit)} |", flush=True)
+            print(
+                f"| {name} | {ROWS[name][2]} | {len(hit)} of {len(scenarios.SCENARIOS)} | {', '.join(hit)} |",
+                flush=True,
+            )
             missed, hit = missed + (not hit), []
     return missed
 
--- a/tools/service_table.py
+++ b/tools/service_table.py
@@ -8,13 +8,13 @@
 import tools.deployments as deployments
 import tools.service as service
 import tools.simulate as simulate
-import tools.simulator.days as days
+import tools.simulator.scenarios as scenarios
 
 
 def main():
     seeds, count = simulate.seeds_and_jobs("service per day and kind of request", "1-3")
     print("| day | deployment | kind | asked | served | begun in 1 s | in time |\n|---|---|---|---|---|---|---|")
-    jobs = [(n, s, d, "brief") for n in days.DAYS for d in sorted(deployments.DEPLOYMENTS) for s in seeds]
+    jobs = [(n, s, d, "brief") for n in scenarios.SCENARIOS for d in sorted(deployments.DEPLOYMENTS) for s in seeds]
     sums = collections.defaultdict(lambda: [0, 0, 0, 0])
     for (name, seed, deployment, _size), (_broken, table) in simulate.many(jobs, count, day_figures):
         for kind, row in table.items():
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -12,10 +12,10 @@
 import tools.deployments as deployments
 import tools.judge_traffic as judge_traffic
 import tools.service as service
-import tools.simulator.day_base as day_base
-import tools.simulator.days as days
-import tools.simulator.end_of_day as end_of_day
-import tools.simulator.fleet as fleet
+import tools.simulator.final_checks as final_checks
+import tools.simulator.fleet as fleet_module
+import tools.simulator.scenario_base as scenario_base
+import tools.simulator.scenarios as scenarios
 
 BACK = 12.0  # s; service returns within this after the machines are back
 GENTLE = ("calm", "polite_stops", "configuration_storm", "leaving", "list_down")  # only planned things
@@ -33,43 +33,45 @@
 
 def one(name, seed, deployment="patinetes", size="small", **shape):
     """Runs one day; returns (broken rules, fleet)."""
-    f = fleet.SimFleet(
-        f"{name}.{seed}", deployment, **{**shape_of(deployment, size), **day_base.SHAPES.get(name, {}), **shape}
+    fleet = fleet_module.SimFleet(
+        f"{name}.{seed}",
+        deployment,
+        **{**shape_of(deployment, size), **scenario_base.FLEET_OPTIONS.get(name, {}), **shape},
     )
-    began = f.loop.time
-    f.ready()
+    began = fleet.loop.time
+    fleet.ready()
     if size == "brief":
-        f.run(max(0.0, began + START - f.loop.time))
-    back = days.DAYS[name](f)
-    day_base.companions(f)
-    end_of_day.watch_pool(f)
+        fleet.run(max(0.0, began + START - fleet.loop.time))
+    back = scenarios.SCENARIOS[name](fleet)
+    scenario_base.companions(fleet)
+    final_checks.watch_pool(fleet)
     length = max(LENGTH, (back or 0) + BACK + 6)
-    start = f.loop.time
-    f.load(f.plan["rate"] if size == "brief" else RATE, length)
-    f.run(length + 2)
-    broken = end_of_day.close(f)
+    start = fleet.loop.time
+    fleet.load(fleet.plan["rate"] if size == "brief" else RATE, length)
+    fleet.run(length + 2)
+    broken = final_checks.close(fleet)
     broken["nothing dropped"] = judge_traffic.nothing_dropped(
-        f.rows,
-        f.ledger,
-        {n: m.hits for n, m in f.machines.items()},
-        {s["http"]: n for n, s in f.settings.items() if n.startswith("route")},
-        f.names("keep"),
+        fleet.rows,
+        fleet.ledger,
+        {n: m.hits for n, m in fleet.machines.items()},
+        {s["http"]: n for n, s in fleet.settings.items() if n.startswith("route")},
+        fleet.names("keep"),
     )
     if name in GENTLE:
-        broken["nothing bounced"] = judge_traffic.nothing_rejected(f.rows)
-    broken["pool whole"] = end_of_day.pool_whole(f)
+        broken["nothing bounced"] = judge_traffic.nothing_rejected(fleet.rows)
+    broken["pool whole"] = final_checks.pool_whole(fleet)
     broken["in time"] = service.in_time(
-        f.rows, service.floor(name, size), None if back is None else start + back + BACK
+        fleet.rows, service.floor(name, size), None if back is None else start + back + BACK
     )
     if name == "tenant_rush":
-        broken["none starved"] = judge_traffic.none_starved(f.rows, f.plan["tenants"][0])
+        broken["none starved"] = judge_traffic.none_starved(fleet.rows, fleet.plan["tenants"][0])
     broken = {rule: found for rule, found in broken.items() if found}
-    f.back = None if back is None else start + back + BACK
+    fleet.back = None if back is None else start + back + BACK
     if back is not None:
-        late = unserved(f.rows, start + back + BACK)
+        late = unserved(fleet.rows, start + back + BACK)
         if late:
             broken["service returns"] = late
-    return broken, f
+    return broken, fleet
 
 
 def unserved(rows, since):
@@ -135,10 +137,10 @@
     parser.add_argument("--size", default="small", choices=["small", "brief"], help="brief: the deployment's own size")
     parser.add_argument("--jobs", type=int, default=1, help="days run at once, each in a process of its own")
     args = parser.parse_args()
-    names = list(days.DAYS) if args.day == "all" else args.day.split(",")
+    names = list(scenarios.SCENARIOS) if args.day == "all" else args.day.split(",")
     for name in names:
-        if name not in days.DAYS:
-            parser.error(f"--day: no day is named {name!r}; there are {', '.join(days.DAYS)}")
+        if name not in scenarios.SCENARIOS:
+            parser.error(f"--day: no day is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
     seeds = checked_seeds(parser, args)
     bad, failed = 0, 0
     for (name, seed, deployment, size), broken in many(
--- a/tools/simulator/end_of_day.py
+++ b/tools/simulator/final_checks.py
@@ -7,11 +7,11 @@
 import tools.read_back as read_back
 
 
-def control(f):
+def control(fleet):
     """At the end every part has one leader and exactly the living keepers as members."""
-    found, alive = [], [n for n in f.names("keep") if f.machines[n].alive]
-    for part in range(len(f.parts[alive[0]].members)):
-        seats = {n: f.parts[n].members[part] for n in alive}
+    found, alive = [], [n for n in fleet.names("keep") if fleet.machines[n].alive]
+    for part in range(len(fleet.parts[alive[0]].members)):
+        seats = {n: fleet.parts[n].members[part] for n in alive}
         leaders = [n for n, s in seats.items() if s.is_leader]
         want = sorted(s.member_id for s in seats.values())
         if len(leaders) != 1:
@@ -21,45 +21,47 @@
     return found
 
 
-def watch_pool(f, beat=0.25):
+def watch_pool(fleet, beat=0.25):
     """Notes each moment in which the listed, living replicas have no prefill or no decode among them."""
 
     def look():
-        listed = [n for n, row in f.list.past[-1][1].items() if row["state"] == "ready" and f.machines[n].alive]
-        roles = collections.Counter(f.parts[n].role for n in listed)
-        f.roles.append((f.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
-        f.later(beat, look)
+        listed = [n for n, row in fleet.list.past[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive]
+        roles = collections.Counter(fleet.parts[n].role for n in listed)
+        fleet.roles.append((fleet.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
+        fleet.later(beat, look)
 
     look()
 
 
-def pool_whole(f, most=4.0):
+def pool_whole(fleet, most=4.0):
     """A pool is never without one side for longer than a new holder's silence and a look."""
     found, since = [], None
-    for at, good in f.roles:
+    for at, good in fleet.roles:
         since = None if good else since or at
         if since and at - since > most:
             found.append(f"at {at:.2f} one side of the pool had been empty for {at - since:.2f} s")
     return found
 
 
-def answered(f, path):
+def answered(fleet, path):
     """What the keepers answer to a question of the operator's, or None."""
-    status, said = f.ask("GET", path, most=40)
+    status, said = fleet.ask("GET", path, most=40)
     return said if status == 200 else None
 
 
-def close(f, rest=3.0):
+def close(fleet, rest=3.0):
     """Lets everything come to rest, reads the configuration back, applies every rule."""
     box = []
-    f.run(8.0)  # the last writes have got their answers: what is read now must hold them
-    ids = [row["id"] for row in f.writes] + list(f.refused)
-    f.operator(lambda: box.append(read_back.read_back(lambda path: answered(f, path), ids)))
-    f.run(17.0)
+    fleet.run(8.0)  # the last writes have got their answers: what is read now must hold them
+    ids = [row["id"] for row in fleet.writes] + list(fleet.refused)
+    fleet.operator(lambda: box.append(read_back.read_back(lambda path: answered(fleet, path), ids)))
+    fleet.run(17.0)
     final = box[0] if box else None
-    rules = judge.all_rules(f.rows, f.ledger, f.writes, f.list.history(), final, f.refused, grace=0.0)
-    rules["freed"] = judge_traffic.freed(f.ledger, f.loop.time - rest, f.lapse)
-    rules["control whole"] = control(f)
+    rules = judge.all_rules(
+        fleet.rows, fleet.ledger, fleet.writes, fleet.list.history(), final, fleet.refused, grace=0.0
+    )
+    rules["freed"] = judge_traffic.freed(fleet.ledger, fleet.loop.time - rest, fleet.lapse)
+    rules["control whole"] = control(fleet)
     rules["read back"] = [] if final else ["the configuration could not be read back"]
-    rules["no crash inside"] = [f"{at:.2f} {who}: {e!r}" for at, who, e in f.loop.faults]
+    rules["no crash inside"] = [f"{at:.2f} {who}: {e!r}" for at, who, e in fleet.loop.faults]
     return {rule: found for rule, found in rules.items() if found}
--- /dev/null
+++ b/tools/simulator/scenarios_disks.py
@@ -0,0 +1,123 @@
+"""Days on which disks slow, fill, fail or are wiped, and keepers move."""
+
+import tools.simulator.scenario_base as base
+
+
+def disk_day(fleet, hurt, mend, least=2.0):
+    box = []
+
+    def act(name):
+        box.append(name)
+        hurt(fleet.disks[name])
+
+    base.on_leader(fleet, 3, act)
+    for n in range(8):
+        base.write(fleet, 2.95 + n * 0.5, f"disk-{n}")
+    fleet.later(3 + least, lambda: mend(fleet.disks[box[0]]))
+    fleet.later(5.5 + least, lambda: fleet.kill(box[0]))
+    fleet.later(6.5 + least, lambda: fleet.start(box[0]))
+    return 6.5 + least
+
+
+@base.scenario
+def disk_slow(fleet):
+    return disk_day(fleet, lambda d: setattr(d, "delay", 0.05), lambda d: setattr(d, "delay", 0.0))
+
+
+@base.scenario
+def disk_stalls(fleet):
+    return disk_day(fleet, lambda d: setattr(d, "delay", 2.5), lambda d: setattr(d, "delay", 0.0))
+
+
+@base.scenario
+def disk_full(fleet):
+    return disk_day(fleet, lambda d: setattr(d, "full", True), lambda d: setattr(d, "full", False))
+
+
+@base.scenario
+def disk_sync_fails(fleet):
+    return disk_day(fleet, lambda d: setattr(d, "sync_fails", True), lambda d: setattr(d, "sync_fails", False))
+
+
+@base.scenario
+def wiped_after_acknowledgement(fleet):
+    count = len(fleet.writes)
+
+    def watch():
+        if len(fleet.writes) > count:
+            name = fleet.leader() or fleet.random.choice(fleet.names("keep"))
+            fleet.kill(name)
+            fleet.wipe(name)
+            fleet.later(1.5, lambda: fleet.start(name))
+        else:
+            fleet.later(0.005, watch)
+
+    base.write(fleet, 3, "then-wiped")
+    fleet.later(3, watch)
+    base.write(fleet, 12, "later")
+    return 8
+
+
+@base.scenario
+def wiped_and_cut(fleet):
+    """A follower that took part in an acknowledgement is wiped while the leader is cut off."""
+    count = len(fleet.writes)
+
+    def watch():
+        if len(fleet.writes) == count:
+            fleet.later(0.002, watch)
+            return
+        leader = fleet.leader() or "keep-1"
+        keeps = fleet.names("keep")
+        at = {n: fleet.parts[n].members[0].log.last for n in keeps}
+        late = min((n for n in keeps if n != leader), key=lambda n: at[n])
+        wiped = next(n for n in keeps if n not in (leader, late))
+        fleet.kill(wiped)
+        fleet.wipe(wiped)
+        fleet.net.split([leader], [n for n in fleet.machines if n not in (leader, "outside")])
+        fleet.later(0.5, lambda: fleet.start(wiped))
+        fleet.later(8.0, fleet.net.heal)
+
+    def slow_one():
+        leader = fleet.leader() or "keep-1"
+        late = fleet.random.choice([n for n in fleet.names("keep") if n != leader])
+        fleet.net.cut(leader, late)  # it misses the write
+        fleet.operator(lambda: fleet.apply("then-wiped"))
+
+    fleet.later(3, slow_one)
+    fleet.later(3, watch)
+    return 12
+
+
+@base.scenario
+def torn_tail(fleet):
+    for n in range(3):
+        base.write(fleet, 3 + n * 0.3, f"torn-{n}")
+    for name in fleet.names("keep"):
+        base.restart_machine(fleet, name, 3 + fleet.random.random() * 0.9, 1.0)
+    return 6
+
+
+@base.scenario
+def keeper_back_empty_elsewhere(fleet):
+    def act(name):
+        fleet.kill(name)
+        fleet.wipe(name)
+        fleet.move(name, "10.1.9.9:70")
+        fleet.later(1.5, lambda: fleet.start(name))
+
+    base.on_leader(fleet, 3, act)
+    base.write(fleet, 4, "while-gone")
+    base.write(fleet, 14, "after")
+    return 6
+
+
+@base.scenario
+def keepers_swapped(fleet):
+    """Each keeper goes for good; another machine takes its place."""
+    for n, name in enumerate(fleet.names("keep")):
+        at = 2 + 9 * n
+        fleet.later(at, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
+        fleet.later(at + 1, lambda name=name: fleet.kill(name))
+        base.write(fleet, at + 6, f"swap-{n}")
+    return 2 + 9 * 3 + 1
--- /dev/null
+++ b/tools/simulator/scenarios_processes.py
@@ -0,0 +1,136 @@
+"""Days on which processes and machines are killed, frozen or politely stopped."""
+
+import tools.simulator.scenario_base as base
+
+
+@base.scenario
+def calm(fleet):
+    base.write(fleet, 4, "calm")
+    return 0
+
+
+@base.scenario
+def kill_router(fleet):
+    """A router dies in the middle of a prefill, with memory held in its name."""
+    name = fleet.random.choice(fleet.names("route"))
+
+    def watch():
+        held = any(fleet.parts[r].running and fleet.parts[r].role == "prefill" for r in fleet.names("replica"))
+        if fleet.parts[name].in_flight and held:
+            base.restart_machine(fleet, name, 0)
+        else:
+            fleet.later(0.002, watch)
+
+    fleet.later(3 + fleet.random.random(), watch)
+    return 9
+
+
+@base.scenario
+def kill_owner(fleet):
+    base.on_leader(fleet, 2 + fleet.random.random(), base.kill_and_back(fleet))
+    base.write(fleet, 1.9 + fleet.random.random(), "near-kill")
+    base.write(fleet, 8, "after")
+    return 6
+
+
+@base.scenario
+def kill_many(fleet):
+    for name in fleet.random.sample(fleet.names("keep") + fleet.names("route"), 4):
+        base.restart_machine(fleet, name, 3 + fleet.random.random(), 2 + fleet.random.random())
+    base.write(fleet, 3, "amid")
+    return 7
+
+
+@base.scenario
+def kill_all(fleet):
+    base.write(fleet, 2.5, "before")
+    for name in fleet.names("keep") + fleet.names("route"):
+        base.restart_machine(fleet, name, 3, 1 + fleet.random.random())
+    return 5
+
+
+@base.scenario
+def freeze_router(fleet):
+    at = 3 + fleet.random.random()
+    fleet.later(
+        at, lambda: fleet.machines[fleet.random.choice(fleet.names("route"))].freeze(1 + 4 * fleet.random.random())
+    )
+    base.write(fleet, at + fleet.random.random() * 0.3 - 0.1, "amid-freeze")
+    return 9
+
+
+@base.scenario
+def freeze_in_connect(fleet):
+    """A router freezes while a send's connection is being made, and the configuration changes meanwhile.
+
+    The replicas do not know the header that bears a send's sequence: only the router's own check is left.
+    """
+    for name in fleet.names("replica"):
+        fleet.parts[name].refuses_older = False
+    base.freeze_at(fleet, "watch")
+    return 9
+
+
+@base.scenario
+def freeze_owner(fleet):
+    at = 3 + fleet.random.random()
+    base.on_leader(fleet, at, lambda n: fleet.machines[n].freeze(0.3 + 3 * fleet.random.random()))
+    base.write(fleet, at - 0.02 + fleet.random.random() * 0.1, "amid-freeze")
+    base.write(fleet, at + 2, "next")
+    return 9
+
+
+@base.scenario
+def polite_stops(fleet):
+    """Routers and the leading keeper are stopped politely, one after another."""
+    for n, name in enumerate(fleet.names("route")):
+        fleet.later(2 + 3 * n, lambda name=name: stop_router(fleet, name))
+    base.on_leader(fleet, 4, lambda name: stop_keeper(fleet, name))
+    return 2 + 3 * len(fleet.names("route")) + 3
+
+
+def stop_router(fleet, name):
+    def run():
+        fleet.parts[name].drain(15.0)
+        fleet.net.apps.pop(fleet.settings[name]["http"])  # the server closes its door, then ends its answers
+        fleet.later(0.05, lambda: fleet.kill(name, planned=True))
+        fleet.later(1.0, lambda: fleet.start(name))
+
+    fleet.loop.spawn(fleet.machines[name], run)
+
+
+def stop_keeper(fleet, name):
+    def run():
+        fleet.parts[name].drain()
+        fleet.later(0.0, lambda: fleet.kill(name, planned=True))
+        fleet.later(1.0, lambda: fleet.start(name))
+
+    fleet.loop.spawn(fleet.machines[name], run)
+
+
+@base.scenario
+def anything(fleet):
+    """Five faults of any kind at any time."""
+    keeps, routes, replicas = fleet.names("keep"), fleet.names("route"), fleet.names("replica")
+    ends = [0.0]
+    for n in range(5):
+        at, span = 1 + 8 * fleet.random.random(), 0.5 + 3 * fleet.random.random()
+        kind = fleet.random.choice(["kill", "freeze", "cut", "crash", "write", "leader", "lapse"])
+        if kind == "kill":
+            base.restart_machine(fleet, fleet.random.choice(keeps + routes), at, span)
+        elif kind == "freeze":
+            name = fleet.random.choice(keeps + routes)
+            fleet.later(at, lambda name=name, span=span: fleet.machines[name].freeze(span))
+        elif kind == "cut":
+            pair = fleet.random.sample(keeps + routes, 2)
+            fleet.later(at, lambda pair=pair: fleet.net.cut(*pair))
+            fleet.later(at + span, fleet.net.heal)
+        elif kind == "crash":
+            base.restart_machine(fleet, fleet.random.choice(replicas), at, span)
+        elif kind == "leader":
+            base.on_leader(fleet, at, base.kill_and_back(fleet, span))
+        elif kind == "lapse":
+            fleet.later(at, lambda: base.lapse(fleet))
+        base.write(fleet, at + 0.2 * fleet.random.random() - 0.1, f"any-{n}")
+        ends.append(at + span)
+    return max(ends) + 1
--- a/tools/simulator/days_of_releases.py
+++ b/tools/simulator/scenarios_releases.py
@@ -7,7 +7,7 @@
 import mothshed.transport.constants as transport_constants
 import mothshed.transport.record_kinds as record_kinds
 import mothshed.transport.records as records
-import tools.simulator.day_base as base
+import tools.simulator.scenario_base as base
 
 LATER = transport_constants.RECORD_FORMAT_VERSION + 1
 EXTENDED = ("append", "append_say", "vote_ask", "grant", "ask", "news")
@@ -70,7 +70,7 @@
     return at + STEP * len(names) + BACK
 
 
-@base.day
+@base.scenario
 def upgraded_and_back(fleet):
     """A rolling upgrade under load with changes and a lost leader in between, then the same way back."""
     codec = later_codec()
@@ -80,6 +80,6 @@
     fleet.later(1.9, lambda: pulse(fleet, fleet.loop.time + end))
     for number in range(8):
         base.write(fleet, 2.5 + number * (end - 3) / 8, f"release-{number}")
-    base.on_owner(fleet, 2 + STEP * 1.5, base.kill_and_back(fleet))  # while routers of both releases hang on it
-    base.on_owner(fleet, middle, base.kill_and_back(fleet))
+    base.on_leader(fleet, 2 + STEP * 1.5, base.kill_and_back(fleet))  # while routers of both releases hang on it
+    base.on_leader(fleet, middle, base.kill_and_back(fleet))
     return end + 1
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -20,8 +20,8 @@
 import tools.fleet_run as fleet_run
 import tools.recorded as recorded
 import tools.simulate as simulate
-import tools.simulator.days as days
-import tools.simulator.end_of_day as end_of_day
+import tools.simulator.final_checks as final_checks
+import tools.simulator.scenarios as scenarios
 
 FAULTS = (
     "kill_router",
@@ -49,7 +49,7 @@
 
 def simulated(job):
     minutes, seed, deployment, size = job
-    f = simulate.fleet.SimFleet(f"soak.{seed}", deployment, **simulate.shape_of(deployment, size))
+    f = simulate.fleet_module.SimFleet(f"soak.{seed}", deployment, **simulate.shape_of(deployment, size))
     f.ready()
     done = []
 
@@ -57,14 +57,14 @@
         name = f.random.choice(FAULTS)
         done.append(name)
         f.turn = f"/{len(done)}"  # an id used again would be answered as accepted before
-        days.DAYS[name](f)
+        scenarios.SCENARIOS[name](f)
         if len(done) * GAP < minutes * 60:
             f.later(GAP, hurt)
 
     f.later(5, hurt)
     f.load(f.plan["rate"], minutes * 60)
     f.run(minutes * 60 + GAP)
-    broken = end_of_day.close(f)
+    broken = final_checks.close(f)
     whole = sum(rows[-1]["end"] == "whole" for rows in recorded.asks(f.rows).values())
     tables = {
         "kept for neighbours": max(len(f.parts[n].backup_releases.entries) for n in f.names("route")),
