--- a/tests/permit_fleet.py
+++ b/tests/permit_fleet.py
@@ -57,7 +57,7 @@
         names = self.fleet.names("route")
         for number in range(int(rate * seconds)):
             name = self.fleet.random.choice(names)
-            self.fleet.later(number / rate, lambda name=name: self.request(name))
+            self.fleet.call_later(number / rate, lambda name=name: self.request(name))
 
     def count(self, status):
         return sum(row.status == status for row in self.rows)
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -80,7 +80,7 @@
 
 
 def test_a_scenario_of_rejections_spends_extra_sends_within_the_budget():
-    broken, fleet = simulate.one("replicas_bounce", 2, size="brief")
+    broken, fleet = simulate.run_scenario("replicas_bounce", 2, size="brief")
     assert "few extras" not in broken
     extras = sum(record["kind"] == "seen" and int(record["send"].rsplit(".", 1)[1]) > 2 for record in fleet.ledger)
     assert extras >= 4  # the budget was used
--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -88,7 +88,7 @@
 
         for method, body in orders.items():
             delay = fleet.random.random() * 0.01
-            fleet.later(delay, lambda m=method, b=body, c=call, f=fleet: f.operator(lambda: c(m, b)))
+            fleet.call_later(delay, lambda m=method, b=body, c=call, f=fleet: f.operator(lambda: c(m, b)))
         fleet.run(6.0)
         assert sorted(responses.values()) == [200, 409]
         won = min(responses, key=responses.get)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -13,9 +13,11 @@
 
 @pytest.mark.parametrize("name", list(scenarios.SCENARIOS))
 def test_a_day_keeps_every_rule(name):
-    broken, fleet = simulate.one(name, 1)
+    broken, fleet = simulate.run_scenario(name, 1)
     assert broken == {}
-    assert proof_table.empty(name, weight.weights(fleet, fleet.back)) == []  # every rule had something to judge
+    assert (
+        proof_table.unexercised_rules(name, weight.weights(fleet, fleet.recovered_at)) == []
+    )  # every rule had something to judge
 
 
 @pytest.mark.parametrize(
@@ -30,9 +32,9 @@
     ],
 )
 def test_a_seed_that_once_failed(name, seed):
-    assert simulate.one(name, seed)[0] == {}
+    assert simulate.run_scenario(name, seed)[0] == {}
 
 
 def test_a_seed_repeats_exactly():
-    one, two = (simulate.one("anything", 2)[1] for _ in range(2))
+    one, two = (simulate.run_scenario("anything", 2)[1] for _ in range(2))
     assert (one.rows, one.ledger, one.loop.steps) == (two.rows, two.ledger, two.loop.steps)
--- a/tests/test_ids.py
+++ b/tests/test_ids.py
@@ -16,7 +16,7 @@
     routers = [fleet.settings[n]["http"] for n in ("route-1", "route-2")]
     for n in range(count):
         call = {**callers.make(n, n, ["dispatch"]), "id": "same", "safe": False, "stream": True, "tokens": 12}
-        fleet.later(
+        fleet.call_later(
             n * gap_s,
             lambda n=n, call=call: fleet.operator(
                 lambda: fleet.rows.append(callers.send(fleet.ops, routers[n // 2 % 2], "shift-notes", call))
@@ -33,7 +33,7 @@
     assert judge.whole_and_own(fleet.rows, fleet.ledger) == [] and judge.own_memory(fleet.rows, fleet.ledger) == []
     released = [record.get("send") for record in fleet.ledger if record["kind"] == "free"]
     assert len(released) == len(set(released)) == 8
-    assert final_checks.close(fleet) == {}
+    assert final_checks.settle_and_check(fleet) == {}
 
 
 def test_every_send_has_a_unique_id_and_the_callers_id_is_returned():
--- a/tests/test_leases_during_changes.py
+++ b/tests/test_leases_during_changes.py
@@ -13,7 +13,7 @@
 
     def watch():
         unleased.extend((fleet.loop.time, n) for n in fleet.names("route") if fleet.parts[n].lease.sequence() is None)
-        fleet.later(0.004, watch)
+        fleet.call_later(0.004, watch)
 
     def change(n):
         fleet.apply(f"storm-{n}")
@@ -34,7 +34,7 @@
     fleet.run(1)
     assert apply_changes(fleet, 30, gap) == []
     assert len(fleet.writes) == 31 and fleet.parts["route-1"].lease.active == 31
-    assert final_checks.close(fleet) == {}
+    assert final_checks.settle_and_check(fleet) == {}
 
 
 @pytest.mark.parametrize("gap", [0.05, 0.5])
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -72,4 +72,4 @@
     f.start("keep-1")
     f.ready()
     f.run(3)
-    assert final_checks.close(f) == {}
+    assert final_checks.settle_and_check(f) == {}
--- a/tests/test_operator_random_sequences.py
+++ b/tests/test_operator_random_sequences.py
@@ -61,8 +61,8 @@
     fleet.net.split([old_leader], others)
     for turn, (name, method) in itertools.product(range(1, 40), ((old_leader, "GET"), (old_leader, "PUT"))):
         body = order(f"cut-{turn}") if method == "PUT" else None
-        fleet.later(turn * 0.5, lambda n=name, m=method, b=body: fleet.operator(lambda: ask(n, m, b)))
-    fleet.later(5.0, lambda: fleet.operator(lambda: fleet.apply("other-side", 1)))
+        fleet.call_later(turn * 0.5, lambda n=name, m=method, b=body: fleet.operator(lambda: ask(n, m, b)))
+    fleet.call_later(5.0, lambda: fleet.operator(lambda: fleet.apply("other-side", 1)))
     fleet.run(21)
     assert [row for row in responses if row[4] > 1.0] == []
     assert {row[3] for row in responses if row[0] > 1.0} == {503}
--- a/tests/test_permit_days.py
+++ b/tests/test_permit_days.py
@@ -13,19 +13,19 @@
     fleet = found.fleet
     leader = fleet.leader(permit_fleet.PART)
     if trouble == "leader dies":
-        fleet.later(2.0, lambda: fleet.kill(leader))
-        fleet.later(5.0, lambda: fleet.start(leader))
+        fleet.call_later(2.0, lambda: fleet.kill(leader))
+        fleet.call_later(5.0, lambda: fleet.start(leader))
     if trouble == "leaders die in turn":
         for at in (2.0, 5.0, 8.0):
-            fleet.later(at, lambda: fleet.kill(fleet.leader(permit_fleet.PART) or leader))
-            fleet.later(at + 2.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
+            fleet.call_later(at, lambda: fleet.kill(fleet.leader(permit_fleet.PART) or leader))
+            fleet.call_later(at + 2.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
     if trouble == "all keepers die":
-        fleet.later(2.0, lambda: [fleet.kill(name) for name in fleet.names("keep")])
-        fleet.later(3.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
+        fleet.call_later(2.0, lambda: [fleet.kill(name) for name in fleet.names("keep")])
+        fleet.call_later(3.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
     if trouble == "routers die":
         for name in fleet.names("route")[1:]:
-            fleet.later(3.0, lambda name=name: fleet.kill(name))
-            fleet.later(4.0, lambda name=name: fleet.start(name))
+            fleet.call_later(3.0, lambda name=name: fleet.kill(name))
+            fleet.call_later(4.0, lambda name=name: fleet.start(name))
 
 
 @pytest.mark.parametrize("trouble", ["none", "leader dies", "leaders die in turn", "all keepers die", "routers die"])
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -15,16 +15,18 @@
 
 
 def test_the_page_has_a_row_for_every_day_and_every_rule_had_something_to_judge():
-    assert proof_table.unknown() == []
+    assert proof_table.unmatched_names() == []
     page = (ROOT / "docs" / "proof.md").read_text().splitlines()
-    assert [line for line in proof_table.head() + proof_table.protected() if line not in page] == []
+    assert [line for line in proof_table.table_header() + proof_table.protection_rows() if line not in page] == []
     for day in scenarios.SCENARIOS:
         cells = [
             line.strip("| ").split(" | ") for line in page if line.split(" | ")[1:2] == [day] and line.count(" | ") > 5
         ]
         assert len(cells) == 1, day
-        zero = [rule for rule, n in zip(proof_table.NEVER.values(), cells[0][2:], strict=False) if int(n) == 0]
-        assert zero == [] or zero == ["service returns"] and day in proof_table.NO_END
+        zero = [
+            rule for rule, n in zip(proof_table.RULES_BY_COLUMN.values(), cells[0][2:], strict=False) if int(n) == 0
+        ]
+        assert zero == [] or zero == ["service returns"] and day in proof_table.FINAL_FAULT_SCENARIOS
 
 
 def test_clocks_no_decision_reads_wall_time():
@@ -43,10 +45,10 @@
 
 
 def test_clocks_a_day_is_the_same_whatever_the_wall_clock_does():
-    plain = simulate.one("kill_owner", 3)[1]
+    plain = simulate.run_scenario("kill_owner", 3)[1]
     jumps = iter(range(10**9))
     with unittest.mock.patch("time.time", lambda: (-1) ** next(jumps) * 1e6):
-        jumped = simulate.one("kill_owner", 3)[1]
+        jumped = simulate.run_scenario("kill_owner", 3)[1]
     assert (plain.rows, plain.ledger) == (jumped.rows, jumped.ledger)
 
 
--- a/tests/test_protections.py
+++ b/tests/test_protections.py
@@ -7,4 +7,4 @@
 
 @pytest.mark.parametrize("name", list(protections.ROWS))
 def test_without_it_the_rule_breaks(name):
-    assert protections.broken_by(name) is not None
+    assert protections.find_breaking_seed(name) is not None
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -179,8 +179,8 @@
 
 
 def test_a_rolling_upgrade_meets_records_of_both_releases():
-    broken, fleet = simulate.one("upgraded_and_back", 3)
-    assert broken == {} and fleet.net.passed_over > 100 and not fleet.net.codecs
+    broken, fleet = simulate.run_scenario("upgraded_and_back", 3)
+    assert broken == {} and fleet.net.unknown_records > 100 and not fleet.net.codecs
 
 
 def test_the_upgrade_breaks_where_what_is_later_is_refused(monkeypatch):
@@ -191,7 +191,7 @@
         return records.Record("", {}) if record.has_unknown_fields else record
 
     monkeypatch.setattr(records.Codec, "unpack", strict)
-    assert simulate.one("upgraded_and_back", 3)[0] != {}
+    assert simulate.run_scenario("upgraded_and_back", 3)[0] != {}
 
 
 def test_a_member_stops_at_a_command_of_a_later_release():
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -8,7 +8,7 @@
 
 def write_many(f, count, span):
     for n in range(count):
-        f.later(n * span, lambda n=n: f.operator(lambda: f.apply(f"many-{n}")))
+        f.call_later(n * span, lambda n=n: f.operator(lambda: f.apply(f"many-{n}")))
     f.run(count * span + 2)
 
 
@@ -50,7 +50,7 @@
     for other in f.names("keep"):
         f.start(other)
     f.run(5)
-    assert final_checks.close(f) == {}
+    assert final_checks.settle_and_check(f) == {}
     assert f.parts[name].members[0].machine.latest == latest
 
 
@@ -67,7 +67,7 @@
 
 
 def test_a_neighbour_releases_only_overdue_handles():
-    f = simulate.one("kill_router", 1)[1]
+    f = simulate.run_scenario("kill_router", 1)[1]
     freed = [r for r in f.ledger if r["kind"] == "free"]
     exports = {(r["send"], r["engine"]): r["at"] for r in f.ledger if r["kind"] == "export"}
     overdue = [r for r in freed if r["at"] - exports[(r["send"], r["engine"])] > 2.0]
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -60,7 +60,7 @@
     f.kill(name)
     count = ByteCount(f)
     for n in range(changes):
-        f.later(n * GAP, lambda n=n: f.operator(lambda: f.apply(f"change-{n}")))
+        f.call_later(n * GAP, lambda n=n: f.operator(lambda: f.apply(f"change-{n}")))
     f.run(changes * GAP + SETTLE)
     away, start = count.take(), f.loop.time
     f.start(name)
--- a/tools/elections.py
+++ b/tools/elections.py
@@ -65,7 +65,7 @@
     last = max(starts[name] for name in f.names("keep"))
     for name in names:
         f.kill(name)
-        f.later(starts[name], lambda name=name: f.start(name))
+        f.call_later(starts[name], lambda name=name: f.start(name))
     f.run(last)
     again = until(f, lambda: led(f))[0]
     rest = until(f, lambda: all(f.machines[n].alive and f.parts[n].lease.sequence() for n in f.names("route")))[0]
@@ -82,8 +82,8 @@
 
 
 def main():
-    seeds, count = simulate.seeds_and_jobs("times without a leader, simulated", "1-40")
-    rows = list(simulate.many([("", s, "", "") for s in seeds], count, call))
+    seeds, count = simulate.parse_seeds_and_jobs("times without a leader, simulated", "1-40")
+    rows = list(simulate.run_jobs([("", s, "", "") for s in seeds], count, call))
     for at, name in enumerate(
         (
             "birth of all parts",
--- a/tools/hollow/books.py
+++ b/tools/hollow/books.py
@@ -70,7 +70,7 @@
 
     def spawn(self, machine, call):
         super().spawn(machine, call)
-        self.kept[-1].label = getattr(call, "__qualname__", "task")
+        self.tasks[-1].label = getattr(call, "__qualname__", "task")
 
     def run(self, until):
         while self.heap and self.heap[0][0] <= until:
@@ -85,7 +85,7 @@
             try:
                 call()
             except Exception as e:
-                self.faults.append((self.time, machine.name if machine else "", e))
+                self.errors.append((self.time, machine.name if machine else "", e))
             if machine:
                 took = time.process_time() - began
                 self.books.spent[(role_of(machine.name), label_of(call))] += took
@@ -103,11 +103,11 @@
 
     def __call__(self):
         net = self.net
-        if net.open(self.machine, self.other):
+        if net.is_reachable(self.machine, self.other):
             record = records.CODEC.unpack(self.data)
             net.books.got[(role_of(self.other.name), record.kind)] += len(self.data)
-            ears = net.ears.get(self.goal, {})
-            call = ears.get((record.kind, record.body.get("part"))) or ears.get((record.kind, None))
+            handlers = net.handlers.get(self.goal, {})
+            call = handlers.get((record.kind, record.body.get("part"))) or handlers.get((record.kind, None))
             if call:
                 call(self.sender, record.body)
 
@@ -126,8 +126,8 @@
         due = max(self.loop.time, one.frozen_until if self.loop.charged else 0.0) + way * (
             1 + 0.2 * self.loop.random.random()
         )
-        due = max(due, self.last.get((one.name, other.name), 0.0) + 1e-6)
-        self.last[(one.name, other.name)] = due
+        due = max(due, self.last_delivery.get((one.name, other.name), 0.0) + 1e-6)
+        self.last_delivery[(one.name, other.name)] = due
         return due - self.loop.time
 
     def send(self, machine, sender, goal, kind, body):
@@ -138,7 +138,7 @@
             raise
         role = role_of(machine.name)
         other = self.machines.get(goal)
-        if other is None or not machine.alive or not self.open(machine, other):
+        if other is None or not machine.alive or not self.is_reachable(machine, other):
             return
         if other is not machine:
             self.books.sent[(role, kind)] += 1
--- a/tools/hollow/fleet.py
+++ b/tools/hollow/fleet.py
@@ -47,7 +47,7 @@
 
     def settings(self, name, at, address):
         self.addresses[name], self.net.places[name] = address, design.cell(at)
-        self.net.ears[address] = {}
+        self.net.handlers[address] = {}
         return {
             "name": name,
             "address": address,
--- a/tools/hollow/trials.py
+++ b/tools/hollow/trials.py
@@ -52,7 +52,7 @@
         "grants of the leader": sum(n for (role, kind), n in books.sent.items() if kind == "grant") / SPAN,
         "appends": sum(n for (role, kind), n in books.sent.items() if kind in ("append", "append_say")) / SPAN,
         "list pages asked": sum(n for (role, kind), n in books.sent.items() if kind == "list page") / SPAN,
-        "faults": len(fleet.loop.faults),
+        "faults": len(fleet.loop.errors),
     }
     # the keepers' sum is given whole: the leader of all parts may be one of them
     return {
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -123,7 +123,10 @@
 def gap(args, calls):
     """The longest time without a whole answer begun, and bounces, around a death of the leader."""
     table = {}
-    for name, hurt in (("no death", None), ("leader killed at 5 s", lambda f: f.later(5, lambda: f.kill(f.leader())))):
+    for name, hurt in (
+        ("no death", None),
+        ("leader killed at 5 s", lambda f: f.call_later(5, lambda: f.kill(f.leader()))),
+    ):
         f = play(args.seed, calls, real_fleet.document(args.deployment), args.seconds, args.deployment, hurt=hurt)
         first = sorted(r["first"] for r in f.rows if r["end"] == "whole")
         longest_gap = max(later - earlier for earlier, later in itertools.pairwise(first))
@@ -137,7 +140,7 @@
     table = {}
     for routers in (50, 200):
         f = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
-        f.ready(most=60)
+        f.ready(timeout_s=60)
         began = f.loop.time
         parts = [f.parts[n] for n in f.names("route")]
         seen = collections.Counter(a for p in parts for a in p.gossip.view)
--- a/tools/proof_table.py
+++ b/tools/proof_table.py
@@ -15,7 +15,7 @@
 import tools.simulator.scenarios as scenarios
 import tools.weight as weight
 
-FAILS = {
+SCENARIOS_BY_FAULT = {
     "crowds": ["crowd", "tenant_rush"],
     "traffic swings": ["traffic_swing"],
     "replicas crash": ["replica_crash", "prefill_dies_holding", "replica_answers_broken"],
@@ -62,7 +62,7 @@
     "control gone from its seeds": ["routers_restart_after_swap", "all_restart_after_swap", "kill_all_one_elsewhere"],
     "replicas refuse": ["replicas_bounce"],
 }
-NEVER = {
+RULES_BY_COLUMN = {
     "runs twice": "never twice",
     "refusal that ran": "bounced never ran",
     "foreign, torn or joined answer": "whole and own",
@@ -77,37 +77,42 @@
     "service away": "service returns",
     "in time": "in time",
 }
-NO_END = tuple(FAILS["closing fault"])  # its fault is the day's end: nothing is asked twelve seconds later
+# These end with their fault: no request is sent twelve seconds after the recovery.
+FINAL_FAULT_SCENARIOS = tuple(SCENARIOS_BY_FAULT["closing fault"])
 
 
 def day_weights(job):
     """(day, its weights, the rules it broke)."""
-    broken, f = simulate.one(*job)
-    return job[0], weight.weights(f, f.back), sorted(broken)
+    broken, fleet = simulate.run_scenario(*job)
+    return job[0], weight.weights(fleet, fleet.recovered_at), sorted(broken)
 
 
-def empty(day, weights):
+def unexercised_rules(day, weights):
     """Rules that had nothing to judge on this day, though they should have had."""
-    return [rule for rule in NEVER.values() if not weights[rule] and not (rule == "service returns" and day in NO_END)]
+    return [
+        rule
+        for rule in RULES_BY_COLUMN.values()
+        if not weights[rule] and not (rule == "service returns" and day in FINAL_FAULT_SCENARIOS)
+    ]
 
 
-def row(day, weights):
-    fails = next(f for f, names in FAILS.items() if day in names)
-    return f"| {fails} | {day} | " + " | ".join(str(weights[rule]) for rule in NEVER.values()) + " |"
+def format_row(day, weights):
+    fault = next(name for name, names in SCENARIOS_BY_FAULT.items() if day in names)
+    return f"| {fault} | {day} | " + " | ".join(str(weights[rule]) for rule in RULES_BY_COLUMN.values()) + " |"
 
 
-def head():
-    return ["| what fails | day | " + " | ".join(NEVER) + " |", "|---" * (len(NEVER) + 2) + "|"]
+def table_header():
+    return ["| what fails | day | " + " | ".join(RULES_BY_COLUMN) + " |", "|---" * (len(RULES_BY_COLUMN) + 2) + "|"]
 
 
-def protected():
+def protection_rows():
     lines = ["| protection taken out | rule that breaks | on the day |", "|---|---|---|"]
     return lines + [f"| {name} | {rule} | {day} |" for name, (patch, day, rule) in protections.ROWS.items()]
 
 
-def unknown():
+def unmatched_names():
     """Names in the table that no day or test has, and days that the table leaves out."""
-    named = {d for names in FAILS.values() for d in names}
+    named = {d for names in SCENARIOS_BY_FAULT.values() for d in names}
     return sorted((named - set(scenarios.SCENARIOS) - {"test_clocks"}) | (set(scenarios.SCENARIOS) - named))
 
 
@@ -117,11 +122,13 @@
     args = parser.parse_args()
     if args.jobs < 1:
         parser.error("--jobs: expected at least one")
-    names = [d for many in FAILS.values() for d in many if d in scenarios.SCENARIOS]
-    print("\n".join(head()))
-    for day, weights, broken in simulate.many([(n, 1, "patinetes", "brief") for n in names], args.jobs, day_weights):
-        print(row(day, weights) + (f" BROKEN {broken}" if broken else ""), flush=True)
-    print("\n" + "\n".join(protected()))
+    names = [d for many in SCENARIOS_BY_FAULT.values() for d in many if d in scenarios.SCENARIOS]
+    print("\n".join(table_header()))
+    for day, weights, broken in simulate.run_jobs(
+        [(n, 1, "patinetes", "brief") for n in names], args.jobs, day_weights
+    ):
+        print(format_row(day, weights) + (f" BROKEN {broken}" if broken else ""), flush=True)
+    print("\n" + "\n".join(protection_rows()))
 
 
 if __name__ == "__main__":
--- a/tools/protections.py
+++ b/tools/protections.py
@@ -21,15 +21,15 @@
 SEEDS = 12
 
 
-def broken_by(name, day=None, seeds=SEEDS):
+def find_breaking_seed(name, day=None, seeds=SEEDS):
     """The first seed that breaks the row's rule on its day (or another), or None."""
-    patch, own, rule = ROWS[name]
+    patch, own_scenario, rule = ROWS[name]
     for seed in range(1, 1 + seeds):
-        weakened.KEPT.clear()
+        weakened.HANDLES.clear()
         with contextlib.ExitStack() as stack:
             stack.enter_context(patch())
             try:
-                broken = simulate.one(day or own, seed)[0]
+                broken = simulate.run_scenario(day or own_scenario, seed)[0]
             except RuntimeError:
                 continue  # not even ready: says nothing about the rule
         if rule in broken:
@@ -37,24 +37,27 @@
     return None
 
 
-def try_day(job):
+def run_job(job):
     name, day, seeds = job
-    return name, day, broken_by(name, day, seeds)
+    return name, day, find_breaking_seed(name, day, seeds)
 
 
-def every_day(jobs, seeds):
+def run_every_scenario(jobs, seeds):
     """Each protection taken out on every day: on which of them its rule was at risk."""
     print("| protection taken out | rule | days | broke on |\n|---|---|---|---|")
-    hit, last, missed = [], list(scenarios.SCENARIOS)[-1], 0
-    for name, day, broke in simulate.many([(n, d, seeds) for n in ROWS for d in scenarios.SCENARIOS], jobs, try_day):
-        hit += [day] if broke else []
+    broken_on, last, not_broken = [], list(scenarios.SCENARIOS)[-1], 0
+    for name, day, broke in simulate.run_jobs(
+        [(n, d, seeds) for n in ROWS for d in scenarios.SCENARIOS], jobs, run_job
+    ):
+        broken_on += [day] if broke else []
         if day == last:
             print(
-                f"| {name} | {ROWS[name][2]} | {len(hit)} of {len(scenarios.SCENARIOS)} | {', '.join(hit)} |",
+                f"| {name} | {ROWS[name][2]} | {len(broken_on)} of {len(scenarios.SCENARIOS)} |"
+                f" {', '.join(broken_on)} |",
                 flush=True,
             )
-            missed, hit = missed + (not hit), []
-    return missed
+            not_broken, broken_on = not_broken + (not broken_on), []
+    return not_broken
 
 
 def main():
@@ -66,17 +69,17 @@
     if args.seeds < 1 or args.jobs < 1:
         parser.error("--seeds and --jobs: expected at least one")
     if args.days == "all":
-        sys.exit(1 if every_day(args.jobs, args.seeds) else 0)
-    missed = 0
+        sys.exit(1 if run_every_scenario(args.jobs, args.seeds) else 0)
+    not_broken = 0
     for name, (_patch, day, rule) in ROWS.items():
-        found = broken_by(name)
-        missed += not found
+        found = find_breaking_seed(name)
+        not_broken += not found
         print(
             f"{'broke' if found else 'HELD '} without '{name}': {rule}, day {day}"
             + (f", seed {found[0]}: {found[1]}" if found else ""),
             flush=True,
         )
-    sys.exit(1 if missed else 0)
+    sys.exit(1 if not_broken else 0)
 
 
 if __name__ == "__main__":
--- a/tools/removed_protections.py
+++ b/tools/removed_protections.py
@@ -24,29 +24,29 @@
 
 ROWS = {
     "unsafe requests are not repeated": (
-        weakened.put(request_execution.RequestExecution, check_may_repeat=weakened.repeat_unsafe),
+        weakened.patch(request_execution.RequestExecution, check_may_repeat=weakened.allow_unsafe_retries),
         "replica_crash",
         "never twice",
     ),
     "a bounce needs proof that nothing ran": (
-        weakened.put(
+        weakened.patch(
             request_execution.RequestExecution, record_failure=lambda self, failure: self.failures.append(failure)
         ),
         "replica_answers_broken",
         "never twice",
     ),
     "a held handle belongs to one request": (
-        weakened.put(replica_adapter, prefill=weakened.any_handle),
+        weakened.patch(replica_adapter, prefill=weakened.mix_up_handles),
         "calm",
         "own memory",
     ),
     "a stream ends only when whole": (
-        weakened.put(replica_adapter.Stream, __iter__=weakened.loose_ends),
+        weakened.patch(replica_adapter.Stream, __iter__=weakened.accept_truncated_streams),
         "replica_answers_broken",
         "whole and own",
     ),
     "the lease is checked before a send": (
-        weakened.put(
+        weakened.patch(
             lease.Lease,
             sequence=lambda self: self.published[0] if self.published[2] else None,
             current=lambda self: (self.published[0], self.published[2]) if self.published[2] else (None, None),
@@ -55,118 +55,118 @@
         "new after ack",
     ),
     "the lease is checked once the connection stands": (
-        weakened.put(request_execution.RequestExecution, make_last_check=lambda self, sequence, role: lambda: True),
+        weakened.patch(request_execution.RequestExecution, make_last_check=lambda self, sequence, role: lambda: True),
         "freeze_in_connect",
         "new after ack",
     ),
     "leases are short during a change": (
-        weakened.put(constants, SHORT_LEASE_S=constants.LONG_LEASE_S),
+        weakened.patch(constants, SHORT_LEASE_S=constants.LONG_LEASE_S),
         "cut_after_staging",
         "no fall back",
     ),
     "activation waits for the leaseholders": (
-        weakened.put(config_leader_task.ConfigLeaderTask, try_activate=weakened.activate_at_once),
+        weakened.patch(config_leader_task.ConfigLeaderTask, try_activate=weakened.activate_immediately),
         "router_loses_keepers",
         "no fall back",
     ),
     "a lease answer needs a majority": (
-        weakened.put(replication.Replication, confirm_leadership=weakened.confirm_alone),
+        weakened.patch(replication.Replication, confirm_leadership=weakened.confirm_without_majority),
         "frozen_owner_with_company",
         "new after ack",
     ),
     "a write needs a majority": (
-        weakened.put(replication.Replication, advance_commit_index=weakened.count_alone),
+        weakened.patch(replication.Replication, advance_commit_index=weakened.commit_without_majority),
         "owner_cut_off",
         "writes kept",
     ),
     "a write is synced before it counts": (
-        weakened.put(environment.SimDisk, sync=weakened.sync_nothing),
+        weakened.patch(environment.SimDisk, sync=weakened.skip_sync),
         "kill_all",
         "writes kept",
     ),
     "compare-and-set on the sequence": (
-        weakened.put(config_machine.ConfigMachine, stage=weakened.stage_anyway),
+        weakened.patch(config_machine.ConfigMachine, stage=weakened.stage_without_comparison),
         "configuration_race",
         "writes kept",
     ),
     "a wiped member is somebody new": (
-        weakened.put(keeper, load_member_id=lambda disk, name, token_hex: f"{name}/same"),
+        weakened.patch(keeper, load_member_id=lambda disk, name, token_hex: f"{name}/same"),
         "wiped_and_cut",
         "writes kept",
     ),
     "a standing only rises": (
-        weakened.put(service_part.ServiceMachine, apply=weakened.take_level),
+        weakened.patch(service_part.ServiceMachine, apply=weakened.repeat_fencing_token),
         "order_owner_killed",
         "orders fenced",
     ),
     "a new holder waits its turn": (
-        weakened.put(constants, FIRST_ORDER_DELAY_S=0.1),
+        weakened.patch(constants, FIRST_ORDER_DELAY_S=0.1),
         "order_owner_killed",
         "orders fenced",
     ),
     "a leaving replica is left alone": (
-        weakened.put(replicas.Replicas, update_list=weakened.deaf_to_leaving),
+        weakened.patch(replicas.Replicas, update_list=weakened.ignore_leaving),
         "leaving",
         "leaving",
     ),
     "extra sends have a budget": (
-        weakened.put(retry_budget.RetryBudget, take_or_borrow=lambda self, count=1: True),
+        weakened.patch(retry_budget.RetryBudget, take_or_borrow=lambda self, count=1: True),
         "replicas_bounce",
         "few extras",
     ),
     "every handle is freed": (
-        weakened.put(handle_releases.HandleReleases, enqueue=lambda self, handle: None),
+        weakened.patch(handle_releases.HandleReleases, enqueue=lambda self, handle: None),
         "calm",
         "freed",
     ),
     "a neighbour keeps a lost router's frees": (
-        weakened.put(backup_releases.BackupReleases, register=lambda self, request, replica, time_left: None),
+        weakened.patch(backup_releases.BackupReleases, register=lambda self, request, replica, time_left: None),
         "kill_router",
         "freed",
     ),
     "a polite stop waits for what is in flight": (
-        weakened.put(router.Router, drain=weakened.stop_at_once),
+        weakened.patch(router.Router, drain=weakened.stop_immediately),
         "polite_stops",
         "nothing dropped",
     ),
-    "tenants are queued fairly": (weakened.first_come_first_served, "tenant_rush", "none starved"),
+    "tenants are queued fairly": (weakened.serve_in_arrival_order, "tenant_rush", "none starved"),
     "a free place is not refused": (
-        weakened.put(request_execution.RequestExecution, admit=weakened.reject_some),
+        weakened.patch(request_execution.RequestExecution, admit=weakened.reject_every_third),
         "calm",
         "in time",
     ),
     "given-up requests are answered at once": (
-        weakened.put(admission.Admission, admit=weakened.reject_late),
+        weakened.patch(admission.Admission, admit=weakened.reject_late),
         "calm",
         "answered at once",
     ),
     "newcomers are admitted": (
-        weakened.put(reconfiguration.Reconfiguration, on_join_ask=lambda self, sender, body: None),
+        weakened.patch(reconfiguration.Reconfiguration, on_join_ask=lambda self, sender, body: None),
         "keepers_swapped",
         "service returns",
     ),
     "a failed sync ends a member's part": (
-        weakened.write_on_after_fault,
+        weakened.write_after_error,
         "disk_sync_fails",
         "no crash inside",
     ),
     "a neighbour's newer reading outlasts an older own one": (
-        weakened.put(constants, LEAVING_MARK_TTL_S=0.0),
+        weakened.patch(constants, LEAVING_MARK_TTL_S=0.0),
         "lists_lag_apart",
         "leaving",
     ),
     "keepers call whom they remember": (
-        weakened.put(known_addresses.KnownAddresses, addresses_to_contact=lambda self, near: []),
+        weakened.patch(known_addresses.KnownAddresses, addresses_to_contact=lambda self, near: []),
         "all_restart_after_swap",
         "service returns",
     ),
     "replicas refuse older sends": (
-        weakened.put(replica_memory.Memory, older=lambda self, sequence: False),
+        weakened.patch(replica_memory.Memory, older=lambda self, sequence: False),
         "freeze_in_write",
         "new after ack",
     ),
     "a pool's bounds hold over its parts": (
-        weakened.put(orders.OrderLeaderTask, pool_replicas=weakened.alone),
+        weakened.patch(orders.OrderLeaderTask, pool_replicas=weakened.ignore_other_parts),
         "small_pool_renamed",
         "pool whole",
     ),
--- a/tools/service_table.py
+++ b/tools/service_table.py
@@ -12,11 +12,11 @@
 
 
 def main():
-    seeds, count = simulate.seeds_and_jobs("service per day and kind of request", "1-3")
+    seeds, count = simulate.parse_seeds_and_jobs("service per day and kind of request", "1-3")
     print("| day | deployment | kind | asked | served | begun in 1 s | in time |\n|---|---|---|---|---|---|---|")
     jobs = [(n, s, d, "brief") for n in scenarios.SCENARIOS for d in sorted(deployments.DEPLOYMENTS) for s in seeds]
     sums = collections.defaultdict(lambda: [0, 0, 0, 0])
-    for (name, seed, deployment, _size), (_broken, table) in simulate.many(jobs, count, day_figures):
+    for (name, seed, deployment, _size), (_broken, table) in simulate.run_jobs(jobs, count, day_figures):
         for kind, row in table.items():
             sums[kind] = [a + b for a, b in zip(sums[kind], row, strict=False)]
         if seed == seeds[-1]:
@@ -31,7 +31,7 @@
 
 
 def day_figures(job):
-    broken, f = simulate.one(*job)
+    broken, f = simulate.run_scenario(*job)
     return job, (broken, dict(service.figures(f.rows)))
 
 
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -17,90 +17,90 @@
 import tools.simulator.scenario_base as scenario_base
 import tools.simulator.scenarios as scenarios
 
-BACK = 12.0  # s; service returns within this after the machines are back
-GENTLE = ("calm", "polite_stops", "configuration_storm", "leaving", "list_down")  # only planned things
-LENGTH = 20.0  # s; least length of a day's load
-START = 12.0  # s; the brief: traffic begins about this long after the machines start
-RATE = 8.0  # requests a second
+RECOVERY_S = 12.0  # s; service returns within this after the machines have recovered
+PLANNED_SCENARIOS = ("calm", "polite_stops", "configuration_storm", "leaving", "list_down")  # only planned things
+MIN_LOAD_S = 20.0  # s; least length of a day's load
+TRAFFIC_START_S = 12.0  # s; the brief: traffic begins about this long after the machines start
+REQUESTS_PER_S = 8.0  # requests a second
 
 
-def shape_of(deployment, size):
+def fleet_options(deployment, size):
     plan = deployments.DEPLOYMENTS[deployment]
     return (
         {"routers": plan["machines"], "replicas": plan["replicas"], "keepers": plan["disks"]} if size == "brief" else {}
     )
 
 
-def one(name, seed, deployment="patinetes", size="small", **shape):
+def run_scenario(name, seed, deployment="patinetes", size="small", **shape):
     """Runs one day; returns (broken rules, fleet)."""
     fleet = fleet_module.SimFleet(
         f"{name}.{seed}",
         deployment,
-        **{**shape_of(deployment, size), **scenario_base.FLEET_OPTIONS.get(name, {}), **shape},
+        **{**fleet_options(deployment, size), **scenario_base.FLEET_OPTIONS.get(name, {}), **shape},
     )
-    began = fleet.loop.time
+    started_at = fleet.loop.time
     fleet.ready()
     if size == "brief":
-        fleet.run(max(0.0, began + START - fleet.loop.time))
-    back = scenarios.SCENARIOS[name](fleet)
+        fleet.run(max(0.0, started_at + TRAFFIC_START_S - fleet.loop.time))
+    recovery = scenarios.SCENARIOS[name](fleet)
     scenario_base.companions(fleet)
-    final_checks.watch_pool(fleet)
-    length = max(LENGTH, (back or 0) + BACK + 6)
+    final_checks.sample_pool(fleet)
+    length = max(MIN_LOAD_S, (recovery or 0) + RECOVERY_S + 6)
     start = fleet.loop.time
-    fleet.load(fleet.plan["rate"] if size == "brief" else RATE, length)
+    fleet.load(fleet.plan["rate"] if size == "brief" else REQUESTS_PER_S, length)
     fleet.run(length + 2)
-    broken = final_checks.close(fleet)
+    broken = final_checks.settle_and_check(fleet)
     broken["nothing dropped"] = judge_traffic.nothing_dropped(
         fleet.rows,
         fleet.ledger,
-        {n: m.hits for n, m in fleet.machines.items()},
+        {n: m.fault_spans for n, m in fleet.machines.items()},
         {s["http"]: n for n, s in fleet.settings.items() if n.startswith("route")},
         fleet.names("keep"),
     )
-    if name in GENTLE:
+    if name in PLANNED_SCENARIOS:
         broken["nothing bounced"] = judge_traffic.nothing_rejected(fleet.rows)
-    broken["pool whole"] = final_checks.pool_whole(fleet)
+    broken["pool whole"] = final_checks.check_pool(fleet)
     broken["in time"] = service.in_time(
-        fleet.rows, service.floor(name, size), None if back is None else start + back + BACK
+        fleet.rows, service.floor(name, size), None if recovery is None else start + recovery + RECOVERY_S
     )
     if name == "tenant_rush":
         broken["none starved"] = judge_traffic.none_starved(fleet.rows, fleet.plan["tenants"][0])
     broken = {rule: found for rule, found in broken.items() if found}
-    fleet.back = None if back is None else start + back + BACK
-    if back is not None:
-        late = unserved(fleet.rows, start + back + BACK)
+    fleet.recovered_at = None if recovery is None else start + recovery + RECOVERY_S
+    if recovery is not None:
+        late = unserved(fleet.rows, start + recovery + RECOVERY_S)
         if late:
             broken["service returns"] = late
     return broken, fleet
 
 
 def unserved(rows, since):
-    by = {}
+    rows_by_id = {}
     for row in rows:
         if row["sent"] >= since:
-            by.setdefault(row["id"], []).append(row)
+            rows_by_id.setdefault(row["id"], []).append(row)
     return [
-        f"{name} at {rs[-1]['sent']:.2f}: {rs[-1]['end']} {rs[-1]['status']} {rs[-1].get('error', '')}"
-        for name, rs in by.items()
-        if rs[-1]["end"] != "whole"
+        f"{name} at {row['sent']:.2f}: {row['end']} {row['status']} {row.get('error', '')}"
+        for name, (*_, row) in rows_by_id.items()
+        if row["end"] != "whole"
     ]
 
 
-def seeds_of(text):
+def parse_range(text):
     low, dash, high = text.partition("-")
     return range(int(low), int(high or low) + 1)
 
 
-def try_one(job):
+def run_job(job):
     """(job, broken rules) of one day, a crash included; for a pool of processes."""
     name, seed, deployment, size = job
     try:
-        return job, one(name, seed, deployment, size)[0]
+        return job, run_scenario(name, seed, deployment, size)[0]
     except Exception:
         return job, {"crash": [traceback.format_exc()]}
 
 
-def many(jobs, count, call=try_one):
+def run_jobs(jobs, count, call=run_job):
     """Runs (day, seed, deployment, size) rows, several at once; yields what call(job) gives, in order."""
     if count == 1:
         yield from map(call, jobs)
@@ -109,10 +109,10 @@
         yield from pool.imap(call, jobs)
 
 
-def checked_seeds(parser, args):
+def parse_seeds(parser, args):
     """The range of --seeds; a bad one, an empty one or no job at all is the parser's one error."""
     try:
-        seeds = seeds_of(args.seeds)
+        seeds = parse_range(args.seeds)
     except ValueError:
         parser.error(f"--seeds: {args.seeds!r} is not first-last")
     if args.jobs < 1 or not seeds:
@@ -120,13 +120,13 @@
     return seeds
 
 
-def seeds_and_jobs(text, usual):
+def parse_seeds_and_jobs(text, usual):
     """The command line of a tool that only takes these two."""
     parser = argparse.ArgumentParser(description=text)
     parser.add_argument("--seeds", default=usual, help="first-last")
     parser.add_argument("--jobs", type=int, default=1, help="runs at once, each in a process of its own")
     args = parser.parse_args()
-    return checked_seeds(parser, args), args.jobs
+    return parse_seeds(parser, args), args.jobs
 
 
 def main():
@@ -141,9 +141,9 @@
     for name in names:
         if name not in scenarios.SCENARIOS:
             parser.error(f"--day: no day is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
-    seeds = checked_seeds(parser, args)
-    bad, failed = 0, 0
-    for (name, seed, deployment, size), broken in many(
+    seeds = parse_seeds(parser, args)
+    failed_total, failed = 0, 0
+    for (name, seed, deployment, size), broken in run_jobs(
         [(n, s, args.deployment, args.size) for n in names for s in seeds], args.jobs
     ):
         if broken:
@@ -156,8 +156,8 @@
                 print(f"    {rule}: {len(found)}, first: {found[0]}")
         if seed == seeds[-1]:
             print(f"{name}: {len(seeds) - failed} of {len(seeds)} seeds kept every rule", flush=True)
-            bad, failed = bad + failed, 0
-    sys.exit(1 if bad else 0)
+            failed_total, failed = failed_total + failed, 0
+    sys.exit(1 if failed_total else 0)
 
 
 if __name__ == "__main__":
--- a/tools/simulator/environment.py
+++ b/tools/simulator/environment.py
@@ -36,9 +36,9 @@
         self.loop.at(delay / self.machine.rate, self.machine, timer)
         return timer
 
-    def send(self, goal, kind, **body):
-        if goal:
-            self.net.send(self.machine, self.address, goal, kind, body)
+    def send(self, destination, kind, **body):
+        if destination:
+            self.net.send(self.machine, self.address, destination, kind, body)
 
     def stop(self):
         pass
@@ -54,7 +54,7 @@
             self.send(address, kind, **body)
 
     def subscribe(self, kind, call, part=None):
-        self.net.ears.setdefault(self.address, {})[(kind, part)] = call
+        self.net.handlers.setdefault(self.address, {})[(kind, part)] = call
 
 
 class SimTimer:
@@ -71,7 +71,7 @@
             self.call()
 
 
-class Fault(dict):
+class ReplicaFaults(dict):
     """A replica's faults; while there are any, its machine counts as hit."""
 
     def __init__(self, machine):
@@ -81,10 +81,12 @@
     def update(self, *rows, **changes):
         changes = dict(*rows, **changes)
         super().update(changes)
-        self.machine.hit(changes["dark_until"] - self.machine.loop.time if "dark_until" in changes else math.inf)
+        self.machine.mark_faulty(
+            changes["dark_until"] - self.machine.loop.time if "dark_until" in changes else math.inf
+        )
 
     def pop(self, name, default=None):
-        self.machine.mend()
+        self.machine.end_faults()
         return super().pop(name, default)
 
 
@@ -101,9 +103,9 @@
         self.machine = machine
         self.full = self.sync_fails = False
         self.delay = 0.0
-        self.before_step = self.bring_faults
+        self.before_step = self.inject_faults
 
-    def bring_faults(self, step, name):
+    def inject_faults(self, step, name):
         """Fails or waits in the calls that the switched-on faults concern."""
         if self.full and step in ("create", "write"):
             raise OSError(errno.ENOSPC, "no space left on device")
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -32,26 +32,26 @@
         self.machines, self.disks, self.parts, self.settings = {}, {}, {}, {}
         self.ledger, self.rows, self.writes, self.refused, self.unknown = [], [], [], [], []
         self.router_deaths = []
-        self.turn = ""  # set apart the writes of a day that is run again
-        self.spared = []  # replicas that only the day's own faults may take away
-        self.roles = []  # (moment, whether both sides of the pool were there)
-        self.lapse = False  # whether held memory may end by lapsing
+        self.id_suffix = ""  # set apart the writes of a day that is run again
+        self.excluded_replicas = []  # replicas that only the day's own faults may take away
+        self.pool_samples = []  # (moment, whether both sides of the pool were there)
+        self.memory_may_expire = False  # whether held memory may end by lapsing
         self.outside = self.machine("outside")
         self.ops = self.environment(self.outside, "10.0.0.1:1")
         self.operator_client = operator_client.OperatorClient(self, self.ops)
         self.list = stand_in_list.PlatformList(lag, lambda: self.loop.time)
         self.net.apps["10.0.0.2:80"] = (self.machine("list"), self.list)
         self.losses = losses
-        places = [f"10.1.0.{at + 1}:70" for at in range(keepers)]
-        self.seeds = places[:3]  # a process is told of three at most
-        for at in range(replicas):
-            self.add_replica(f"replica-{at + 1}", at)
+        addresses = [f"10.1.0.{index + 1}:70" for index in range(keepers)]
+        self.seeds = addresses[:3]  # a process is told of three at most
+        for index in range(replicas):
+            self.add_replica(f"replica-{index + 1}", index)
         if replicas:
             self.add_replica(deployments.PLAIN_REPLICA, replicas, deployments.PLAIN_SERVICE, plain=True)
-        for at in range(keepers):
-            self.add_keeper(f"keep-{at + 1}", at, places[at])
-        for at in range(routers):
-            self.add_router(f"route-{at + 1}", at)
+        for index in range(keepers):
+            self.add_keeper(f"keep-{index + 1}", index, addresses[index])
+        for index in range(routers):
+            self.add_router(f"route-{index + 1}", index)
 
     def machine(self, name):
         self.machines[name] = loop_module.Machine(self.loop, name)
@@ -61,44 +61,44 @@
         self.net.machines[address] = machine
         return environment_module.SimEnvironment(self.loop, self.net, machine, address, label)
 
-    def cell(self, at):
-        return self.plan["zones"][at % len(self.plan["zones"])]
+    def zone_of(self, index):
+        return self.plan["zones"][index % len(self.plan["zones"])]
 
-    def add_replica(self, name, at, service=None, plain=False):
+    def add_replica(self, name, index, service=None, plain=False):
         machine = self.machine(name)
-        self.settings[name] = {"http": f"10.3.0.{at + 1}:80"}
+        self.settings[name] = {"http": f"10.3.0.{index + 1}:80"}
         self.list.change(
             name,
             {
                 "name": name,
-                "address": f"10.3.0.{at + 1}:80",
-                "zone": self.cell(at),
+                "address": f"10.3.0.{index + 1}:80",
+                "zone": self.zone_of(index),
                 "service": service or self.plan["model"],
                 "labels": {"app": service if plain else self.plan["model"]},
                 "state": "ready",
             },
         )
-        self.boot_replica(name, machine)
+        self.start_replica(name, machine)
 
     def ledger_of(self, name):
         """All replicas write to one ledger, which survives their crashes."""
         return replica_memory.Ledger(None, name, lambda: self.loop.time, self.ledger)
 
-    def boot_replica(self, name, machine):
+    def start_replica(self, name, machine):
         at = self.settings[name]["http"]
         environment = self.environment(machine, at)
         memory = replica_memory.Memory(environment, name, ledger=self.ledger_of(name))
-        memory.fault = environment_module.Fault(machine)
+        memory.fault = environment_module.ReplicaFaults(machine)
         self.parts[name] = memory
         self.net.apps[at] = (machine, stand_in_replica.Replica(memory, at, lambda: self.kill(name)))
 
-    def place(self, name, address, at, **more):
+    def define_settings(self, name, address, index, **more):
         host = address.rsplit(":", 1)[0]
         self.settings[name] = {
             "name": name,
             "address": address,
             "http": f"{host}:80",
-            "cell": self.cell(at),
+            "cell": self.zone_of(index),
             "seeds": list(self.seeds),
             "first_keepers": list(self.seeds),
             "list_url": "http://10.0.0.2:80/replicas",
@@ -106,36 +106,36 @@
             **more,
         }
 
-    def add_keeper(self, name, at, address):
+    def add_keeper(self, name, index, address):
         self.disks[name] = environment_module.SimDisk(self.loop, self.machine(name))
-        self.place(name, address, at)
-        self.boot_keeper(name)
+        self.define_settings(name, address, index)
+        self.start_keeper(name)
 
-    def boot_keeper(self, name):
+    def start_keeper(self, name):
         machine, settings, disk = self.machines[name], self.settings[name], self.disks[name]
-        self.net.ears[settings["address"]] = {}
+        self.net.handlers[settings["address"]] = {}
         label = [0]
 
         def make():
             label[0] += 1
             return self.environment(machine, settings["address"], label[0])
 
-        def mark(length):
+        def token_hex(length):
             return f"{self.loop.random.getrandbits(8 * length):x}"
 
-        keeper = keeper_module.Keeper(make(), settings, make, disk, mark)
+        keeper = keeper_module.Keeper(make(), settings, make, disk, token_hex)
         keeper.run()
         self.parts[name] = keeper
         self.net.apps[settings["http"]] = (machine, operator_api.OperatorApi(keeper))
 
-    def add_router(self, name, at):
+    def add_router(self, name, index):
         self.machine(name)
-        self.place(name, f"10.2.{at // 200}.{at % 200 + 1}:70", at)
-        self.boot_router(name)
+        self.define_settings(name, f"10.2.{index // 200}.{index % 200 + 1}:70", index)
+        self.start_router(name)
 
-    def boot_router(self, name):
+    def start_router(self, name):
         machine, settings = self.machines[name], self.settings[name]
-        self.net.ears[settings["address"]] = {}
+        self.net.handlers[settings["address"]] = {}
         router = router_module.Router(self.environment(machine, settings["address"]), settings)
         router.run()
         self.parts[name] = router
@@ -150,7 +150,9 @@
                 self.disks[name].crash()
             elif name.startswith("route"):
                 # what it owed is kept by one neighbour; with both gone it may lapse
-                self.lapse = self.lapse or any(self.loop.time - at < 15 for at in self.router_deaths)
+                self.memory_may_expire = self.memory_may_expire or any(
+                    self.loop.time - at < 15 for at in self.router_deaths
+                )
                 self.router_deaths.append(self.loop.time)
             else:
                 self.ledger_of(name).add("gone")
@@ -161,11 +163,11 @@
             return
         machine.revive()
         if name in self.disks:
-            self.boot_keeper(name)
+            self.start_keeper(name)
         elif name.startswith("route"):
-            self.boot_router(name)
+            self.start_router(name)
         else:
-            self.boot_replica(name, machine)
+            self.start_replica(name, machine)
 
     def move(self, name, address):
         """A machine comes back at a new address."""
@@ -182,7 +184,7 @@
     def wipe(self, name):
         self.disks[name].wipe()
 
-    def later(self, delay, call):
+    def call_later(self, delay, call):
         self.loop.at(delay, None, call)
 
     def names(self, stem):
@@ -204,18 +206,18 @@
     def operator(self, call):
         self.loop.spawn(self.outside, call)
 
-    def ask(self, method, path, body=None, most=8):
+    def ask(self, method, path, body=None, attempts=8):
         """One operator's question to the keepers, tried until answered."""
-        return self.operator_client.ask(method, path, body, most)
+        return self.operator_client.ask(method, path, body, attempts)
 
-    def apply(self, mark, base=None, body=None, most=8):
+    def apply(self, order_id, base=None, body=None, attempts=8):
         """Writes a document; the end is recorded for the judge."""
-        self.operator_client.apply(mark, base, body, most)
+        self.operator_client.apply(order_id, base, body, attempts)
 
-    def ready(self, most=20.0, body=None):
+    def ready(self, timeout_s=20.0, body=None):
         """Runs until the first document is active and every replica has a role."""
-        self.operator(lambda: self.apply("first", 0, body, most=30))
-        until = self.loop.time + most
+        self.operator(lambda: self.apply("first", 0, body, attempts=30))
+        until = self.loop.time + timeout_s
         while self.loop.time < until:
             self.run(0.25)
             routers = [self.parts[n] for n in self.names("route")]
--- a/tools/simulator/loop.py
+++ b/tools/simulator/loop.py
@@ -1,7 +1,7 @@
 """Virtual time and tasks: one event after another, the same for the same seed.
 
 Straight-down code runs in greenlets, one at a time, that give way only where the
-product pauses, waits for an event or for the network. Events belong to a machine: a
+product sleeps, waits for an event or for the network. Events belong to a machine: a
 dead machine's are dropped, a frozen machine's wait for its thaw in their order.
 """
 
@@ -19,40 +19,40 @@
     def __init__(self, loop, name):
         self.loop, self.name = loop, name
         self.alive, self.epoch, self.frozen_until = True, 0, 0.0
-        self.on_death = []  # callbacks: connections to reset, disks to crash
+        self.on_kill = []  # callbacks: connections to reset, disks to crash
         self.clock, self.rate = (0.0, 0.0), 1.0  # own and true time when its rate was set
-        self.hits = []  # spans [from, until] in which something unplanned befell it
+        self.fault_spans = []  # spans [from, until] in which something unplanned befell it
 
-    def hit(self, span=math.inf):
-        self.hits.append([self.loop.time, self.loop.time + span])
+    def mark_faulty(self, span=math.inf):
+        self.fault_spans.append([self.loop.time, self.loop.time + span])
 
-    def mend(self):
-        for span in self.hits:
+    def end_faults(self):
+        for span in self.fault_spans:
             span[1] = min(span[1], self.loop.time)
 
     def now(self):
-        own, true = self.clock
-        return own + (self.loop.time - true) * self.rate
+        own_time, true_time = self.clock
+        return own_time + (self.loop.time - true_time) * self.rate
 
     def set_rate(self, rate):
         self.clock, self.rate = (self.now(), self.loop.time), rate
 
     def freeze(self, span):
-        self.hit(span)
+        self.mark_faulty(span)
         self.frozen_until = max(self.frozen_until, self.loop.time + span)
 
     def kill(self, planned=False):
         if not planned:
-            self.hit()
+            self.mark_faulty()
         self.alive = False
         self.epoch += 1
         self.frozen_until = 0.0
-        calls, self.on_death = self.on_death, []
+        calls, self.on_kill = self.on_kill, []
         for call in calls:
             call()
 
     def revive(self):
-        self.mend()
+        self.end_faults()
         self.alive = True
 
 
@@ -62,8 +62,8 @@
         self.random = random.Random(seed)
         self.heap, self.count = [], itertools.count()
         self.hub = greenlet.getcurrent()
-        self.kept = []  # tasks of dead machines: never run again, never collected early
-        self.faults = []  # exceptions that escaped a callback or task
+        self.tasks = []  # tasks of dead machines: never run again, never collected early
+        self.errors = []  # exceptions that escaped a callback or task
         self.steps = 0
 
     def at(self, delay, machine, call):
@@ -86,14 +86,14 @@
             try:
                 call()
             except Exception as e:
-                self.faults.append((self.time, machine.name if machine else "", e))
+                self.errors.append((self.time, machine.name if machine else "", e))
         self.time = until
 
     def spawn(self, machine, call):
         task = greenlet.greenlet(call, parent=self.hub)
-        self.kept.append(task)
-        if len(self.kept) > 5000:
-            self.kept = [t for t in self.kept if not t.dead]
+        self.tasks.append(task)
+        if len(self.tasks) > 5000:
+            self.tasks = [t for t in self.tasks if not t.dead]
         self.at(0.0, machine, task.switch)
 
     def sleep(self, machine, span):
@@ -109,22 +109,22 @@
 
     def __init__(self, loop, machine):
         self.loop, self.machine = loop, machine
-        self.open, self.waits = False, []
+        self.flag, self.waiters = False, []
 
     def is_set(self):
-        return self.open
+        return self.flag
 
     def set(self):
-        self.open = True
-        waits, self.waits = self.waits, []
-        for wake in waits:
+        self.flag = True
+        waiters, self.waiters = self.waiters, []
+        for wake in waiters:
             wake()
 
     def clear(self):
-        self.open = False
+        self.flag = False
 
     def wait(self, timeout=None):
-        if self.open:
+        if self.flag:
             return True
         task, done = greenlet.getcurrent(), []
         if task is self.loop.hub:
@@ -135,8 +135,8 @@
                 done.append(True)
                 self.loop.at(0.0, self.machine, task.switch)
 
-        self.waits.append(wake)
+        self.waiters.append(wake)
         if timeout is not None:
             self.loop.at(timeout / self.machine.rate, self.machine, wake)
         self.loop.hub.switch()
-        return self.open
+        return self.flag
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -13,27 +13,27 @@
 import mothshed.http.web as web
 import mothshed.transport.records as records
 
-LOW, SPAN = 0.0003, 0.0012  # s; a local network's delay
+MIN_DELAY_S, DELAY_SPREAD_S = 0.0003, 0.0012  # s; a local network's delay
 
 
 class Network:
     def __init__(self, loop):
         self.loop = loop
         self.machines = {}  # address -> Machine
-        self.ears = {}  # address -> {(kind, part): call}
+        self.handlers = {}  # address -> {(kind, part): call}
         self.apps = {}  # HTTP address -> (Machine, WSGI app)
         self.cuts = set()  # (from name, to name)
-        self.last = {}  # (from, to) -> time of the latest delivery
+        self.last_delivery = {}  # (from, to) -> time of the latest delivery
         self.codecs = {}  # machine -> records.Codec, where it runs another release than the others
-        self.count = self.passed_over = 0  # records sent; of a kind that their reader did not know
-        self.watch = lambda machine, path: None  # told of each connection about to be made
-        self.written = lambda machine, path: None  # and of each send past its last check
+        self.count = self.unknown_records = 0  # records sent; of a kind that their reader did not know
+        self.before_connect = lambda machine, path: None  # told of each connection about to be made
+        self.before_send = lambda machine, path: None  # and of each send past its last check
 
     def cut(self, one, other, both=True):
         self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
         for machine in self.machines.values():
             if machine.name in (one, other):
-                machine.hit()
+                machine.mark_faulty()
 
     def split(self, some, rest):
         for a in some:
@@ -43,38 +43,38 @@
     def heal(self):
         for machine in self.machines.values():
             if any(machine.name in pair for pair in self.cuts):
-                machine.mend()
+                machine.end_faults()
         self.cuts.clear()
 
-    def open(self, one, other):
+    def is_reachable(self, one, other):
         return one is other or (one.name, other.name) not in self.cuts
 
     def delay(self, one, other):
-        due = max(self.loop.time, one.frozen_until) + LOW + self.loop.random.random() * SPAN
-        due = max(due, self.last.get((one.name, other.name), 0.0) + 1e-6)
-        self.last[(one.name, other.name)] = due
+        due = max(self.loop.time, one.frozen_until) + MIN_DELAY_S + self.loop.random.random() * DELAY_SPREAD_S
+        due = max(due, self.last_delivery.get((one.name, other.name), 0.0) + 1e-6)
+        self.last_delivery[(one.name, other.name)] = due
         return due - self.loop.time
 
     def codec_of(self, machine):
         return self.codecs.get(machine.name, records.CODEC)
 
-    def send(self, machine, sender, goal, kind, body):
+    def send(self, machine, sender, destination, kind, body):
         codec = self.codec_of(machine)
         codec.check_fields(kind, body)  # what a record does not carry would be lost on the way
         data = codec.pack(kind, body)
-        other = self.machines.get(goal)
-        if other is None or not machine.alive or not self.open(machine, other):
+        other = self.machines.get(destination)
+        if other is None or not machine.alive or not self.is_reachable(machine, other):
             return
         self.count += 1
 
         def arrive():
-            if not self.open(machine, other):
+            if not self.is_reachable(machine, other):
                 return
             record = self.codec_of(other).unpack(data)
             if not record.kind:
-                self.passed_over += 1
-            ears = self.ears.get(goal, {})
-            call = ears.get((record.kind, record.body.get("part"))) or ears.get((record.kind, None))
+                self.unknown_records += 1
+            handlers = self.handlers.get(destination, {})
+            call = handlers.get((record.kind, record.body.get("part"))) or handlers.get((record.kind, None))
             if call:
                 call(sender, record.body)
 
@@ -82,18 +82,18 @@
 
 
 class Channel:
-    """One HTTP exchange: pieces on their way to the asker."""
+    """One HTTP exchange: pieces on their way to the client."""
 
-    def __init__(self, net, asker, server):
-        self.net, self.asker, self.server = net, asker, server
+    def __init__(self, net, client, server):
+        self.net, self.client, self.server = net, client, server
         self.pieces, self.on_piece = [], None
         self.closed = False
 
     def push(self, piece):
-        """From the server's side; an asker that hung up makes it fail, as a socket would."""
+        """From the server's side; a client that hung up makes it fail, as a socket would."""
         if self.closed:
-            raise BrokenPipeError("asker hung up")
-        if not self.net.open(self.server, self.asker):
+            raise BrokenPipeError("client hung up")
+        if not self.net.is_reachable(self.server, self.client):
             return
 
         def arrive():
@@ -101,7 +101,7 @@
             if self.on_piece:
                 self.on_piece()
 
-        self.net.loop.at(self.net.delay(self.server, self.asker), self.asker, arrive)
+        self.net.loop.at(self.net.delay(self.server, self.client), self.client, arrive)
 
     def reset(self):
         if not self.closed:
@@ -125,14 +125,14 @@
         return kind, data
 
     def bytes(self):
-        got = 0
+        received = 0
         while True:
             kind, data = self.pull()
             if kind == "end":
-                if self.size is not None and got != self.size:
+                if self.size is not None and received != self.size:
                     raise web.WebFault("IncompleteRead", True)
                 return
-            got += len(data)
+            received += len(data)
             yield data
 
     def body(self):
@@ -159,7 +159,7 @@
         self.channel.closed = True
 
 
-class Head(dict):
+class Headers(dict):
     """Response headers by lower-case name."""
 
     def get(self, name, default=None):
@@ -181,47 +181,47 @@
         ready=lambda: True,
         cancellation=None,  # callers of a simulated router are not watched
     ):
-        net, loop, own = self.net, self.net.loop, self.machine
+        net, loop, client = self.net, self.net.loop, self.machine
         address, path = url.removeprefix("http://").split("/", 1)
         found = net.apps.get(address)
         other = found[0] if found else None
-        if other and not (net.open(own, other) and net.open(other, own)):
-            loop.sleep(own, connect)
+        if other and not (net.is_reachable(client, other) and net.is_reachable(other, client)):
+            loop.sleep(client, connect)
             raise web.WebFault("ConnectTimeoutError", False)
-        net.watch(own, path)
-        loop.sleep(own, LOW + loop.random.random() * SPAN)
+        net.before_connect(client, path)
+        loop.sleep(client, MIN_DELAY_S + loop.random.random() * DELAY_SPREAD_S)
         found = net.apps.get(address)
         if not found or not found[0].alive:
             raise web.WebFault("NewConnectionError", False)
         if not ready():
             raise web.WebFault(web.NOT_READY, False)
-        self.net.written(own, path)
+        self.net.before_send(client, path)
         other, app = found
-        channel, event = Channel(net, own, other), self.new_event()
+        channel, event = Channel(net, client, other), self.new_event()
         channel.on_piece = event.set
         data = b"" if body is None else json.dumps(body).encode()
-        place, _, query = path.partition("?")
+        path_info, _, query = path.partition("?")
         environ = {
-            "PATH_INFO": "/" + place,
+            "PATH_INFO": "/" + path_info,
             "QUERY_STRING": query,
             "REQUEST_METHOD": method,
             "CONTENT_LENGTH": str(len(data)),
             "wsgi.input": io.BytesIO(data),
-            "REMOTE_ADDR": own.name,
+            "REMOTE_ADDR": client.name,
         }
         for name, text in (headers or {}).items():
             environ["HTTP_" + name.upper().replace("-", "_")] = text
-        if net.open(own, other):
-            loop.at(net.delay(own, other), other, lambda: loop.spawn(other, lambda: self.serve(app, environ, channel)))
-            other.on_death.append(channel.reset)
-            if len(other.on_death) > 4000:
-                other.on_death = [
-                    c for c in other.on_death if not getattr(c, "__self__", None) or not c.__self__.closed
-                ]
-        response = SimResponse(channel, event, 0, Head(), read)
+        if net.is_reachable(client, other):
+            loop.at(
+                net.delay(client, other), other, lambda: loop.spawn(other, lambda: self.serve(app, environ, channel))
+            )
+            other.on_kill.append(channel.reset)
+            if len(other.on_kill) > 4000:
+                other.on_kill = [c for c in other.on_kill if not getattr(c, "__self__", None) or not c.__self__.closed]
+        response = SimResponse(channel, event, 0, Headers(), read)
         kind, data = response.pull()
         status, fields = data
-        fields = Head({k.lower(): v for k, v in fields})
+        fields = Headers({k.lower(): v for k, v in fields})
         return SimResponse(channel, event, int(status.split()[0]), fields, read)
 
     def serve(self, app, environ, channel):
--- a/tools/simulator/operator_client.py
+++ b/tools/simulator/operator_client.py
@@ -10,42 +10,42 @@
     def __init__(self, fleet, environment):
         self.fleet, self.environment = fleet, environment
 
-    def ask(self, method, path, body=None, most=8):
+    def ask(self, method, path, body=None, attempts=8):
         """One operator's question to the keepers, tried until answered."""
-        chance = self.fleet.random
-        for _turn in range(most):
-            url = f"http://{chance.choice(self.fleet.http('keep'))}{path}"
+        random = self.fleet.random
+        for _attempt in range(attempts):
+            url = f"http://{random.choice(self.fleet.http('keep'))}{path}"
             try:
-                for _hop in range(4):
+                for _redirect in range(4):
                     response = self.environment.web.send(method, url, body, read=2.0)
-                    status, said = response.status, response.body()
+                    status, response_body = response.status, response.body()
                     if status != 307:
                         break
                     url = response.headers.get("location")
                 if status not in (503, 307):
-                    return status, said
+                    return status, response_body
             except network.web.WebFault:
                 pass
             self.environment.sleep(0.4)
         return 0, {}
 
-    def apply(self, mark, base=None, body=None, most=8):
+    def apply(self, order_id, base=None, body=None, attempts=8):
         """Writes a document; the end is recorded for the judge."""
-        mark += self.fleet.turn
+        order_id += self.fleet.id_suffix
         if base is None:
-            status, said = self.ask("GET", "/configuration")
+            status, response_body = self.ask("GET", "/configuration")
             if status != 200:
                 return
-            base = said["latest"]
-        body = body or real_fleet.document(self.fleet.deployment, note=mark)
-        status, said = self.ask(
-            "PUT", "/configuration", {"base": base, "document": body, "id": mark, "by": "sim"}, most
+            base = response_body["latest"]
+        body = body or real_fleet.document(self.fleet.deployment, note=order_id)
+        status, response_body = self.ask(
+            "PUT", "/configuration", {"base": base, "document": body, "id": order_id, "by": "sim"}, attempts
         )
         if status == 200:
             self.fleet.writes.append(
-                {"id": mark, "sequence": said["sequence"], "acked": self.fleet.loop.time, "base": base}
+                {"id": order_id, "sequence": response_body["sequence"], "acked": self.fleet.loop.time, "base": base}
             )
         elif status == 409:
-            self.fleet.refused.append(mark)
+            self.fleet.refused.append(order_id)
         else:
-            self.fleet.unknown.append(mark)
+            self.fleet.unknown.append(order_id)
--- a/tools/simulator/scenario_base.py
+++ b/tools/simulator/scenario_base.py
@@ -31,7 +31,7 @@
     """What goes on during every day: a change, a replica that leaves and comes back, a request of nobody's."""
     write(fleet, 3 + 4 * fleet.random.random(), "companion")
     name, at = (
-        fleet.random.choice([n for n in fleet.names("replica") if n not in fleet.spared]),
+        fleet.random.choice([n for n in fleet.names("replica") if n not in fleet.excluded_replicas]),
         4 + 4 * fleet.random.random(),
     )
 
@@ -39,10 +39,10 @@
         if name in fleet.list.past[-1][1]:
             fleet.list.change(name, {"state": state})
 
-    fleet.later(at, lambda: show("leaving"))
-    fleet.later(at + 5, lambda: show("ready"))
+    fleet.call_later(at, lambda: show("leaving"))
+    fleet.call_later(at + 5, lambda: show("ready"))
     call = {**callers.make(fleet.seed, "bad", ["nobody"]), "tenant": "nobody"}
-    fleet.later(
+    fleet.call_later(
         5,
         lambda: fleet.operator(
             lambda: fleet.rows.append(
@@ -52,19 +52,19 @@
     )
 
 
-def lapse(fleet):
+def expire_memory(fleet):
     """All held memory lapses at once."""
-    fleet.lapse = True
+    fleet.memory_may_expire = True
     for name in fleet.names("replica"):
-        fleet.machines[name].hit(0.0)
+        fleet.machines[name].mark_faulty(0.0)
         for held in fleet.parts[name].held.values():
             held["born"] = -1e9
         fleet.parts[name].lapse()
 
 
 def restart_machine(fleet, name, at, back=2.0):
-    fleet.later(at, lambda: fleet.kill(name))
-    fleet.later(at + back, lambda: fleet.start(name))
+    fleet.call_later(at, lambda: fleet.kill(name))
+    fleet.call_later(at + back, lambda: fleet.start(name))
 
 
 def freeze_at(fleet, hook, at=3, span=3.5):
@@ -76,7 +76,7 @@
             machine.freeze(span)
             fleet.operator(lambda: fleet.apply("behind-its-back"))
 
-    fleet.later(at, lambda: setattr(fleet.net, hook, seen))
+    fleet.call_later(at, lambda: setattr(fleet.net, hook, seen))
 
 
 def on_leader(fleet, at, act, part=0):
@@ -84,16 +84,16 @@
         name = fleet.leader(part) or fleet.random.choice(fleet.names("keep"))
         act(name)
 
-    fleet.later(at, run)
+    fleet.call_later(at, run)
 
 
-def write(fleet, at, mark, base=None):
-    fleet.later(at, lambda: fleet.operator(lambda: fleet.apply(mark, base)))
+def write(fleet, at, order_id, base=None):
+    fleet.call_later(at, lambda: fleet.operator(lambda: fleet.apply(order_id, base)))
 
 
 def kill_and_back(fleet, back=2.0):
     def act(name):
         fleet.kill(name)
-        fleet.later(back, lambda: fleet.start(name))
+        fleet.call_later(back, lambda: fleet.start(name))
 
     return act
--- a/tools/simulator/scenarios_cuts.py
+++ b/tools/simulator/scenarios_cuts.py
@@ -8,9 +8,9 @@
     """A router that still reaches the replicas hears no keeper while the configuration changes."""
     name = fleet.random.choice(fleet.names("route"))
     at = 3 + fleet.random.random()
-    fleet.later(at, lambda: fleet.net.split([name], fleet.names("keep")))
+    fleet.call_later(at, lambda: fleet.net.split([name], fleet.names("keep")))
     base.write(fleet, at + 0.02, "unheard")
-    fleet.later(at + 4, fleet.net.heal)
+    fleet.call_later(at + 4, fleet.net.heal)
     return at + 4
 
 
@@ -25,11 +25,11 @@
         if leader and fleet.parts[leader].members[0].machine.active > active:
             fleet.net.split([name], fleet.names("keep"))
         else:
-            fleet.later(0.0001, watch)
+            fleet.call_later(0.0001, watch)
 
-    fleet.later(3, watch)
+    fleet.call_later(3, watch)
     base.write(fleet, 3, "staged-then-cut")
-    fleet.later(7, fleet.net.heal)
+    fleet.call_later(7, fleet.net.heal)
     return 7
 
 
@@ -46,17 +46,17 @@
             fleet.operator(lambda: fleet.apply("staged-then-dead"))
             watch()
         else:
-            fleet.later(0.0005, leased)
+            fleet.call_later(0.0005, leased)
 
     def watch():
         leader = fleet.leader()
         if leader and fleet.parts[leader].members[0].machine.latest > active:
             base.kill_and_back(fleet, 3.0)(leader)
         else:
-            fleet.later(0.0001, watch)
+            fleet.call_later(0.0001, watch)
 
-    fleet.later(2.2, leased)
-    fleet.later(8, fleet.net.heal)
+    fleet.call_later(2.2, leased)
+    fleet.call_later(8, fleet.net.heal)
     return 8
 
 
@@ -73,7 +73,7 @@
     base.on_leader(fleet, 3, act)
     for n in range(5):
         base.write(fleet, 4.4 + 0.1 * n, f"behind-its-back-{n}")
-    fleet.later(3 + span + 2, fleet.net.heal)
+    fleet.call_later(3 + span + 2, fleet.net.heal)
     return 5 + span
 
 
@@ -84,7 +84,7 @@
     base.on_leader(fleet, 3, lambda name: fleet.net.split([name], [k for k in fleet.names("keep") if k != name]))
     for n in range(4):
         base.write(fleet, 3.01 + 0.05 * n, f"to-a-lost-leader-{n}", latest)
-    fleet.later(7, fleet.net.heal)
+    fleet.call_later(7, fleet.net.heal)
     return 7
 
 
@@ -94,10 +94,10 @@
     side = fleet.random.sample(keeps, 1) + fleet.random.sample(routes, 1)
     rest = [n for n in keeps + routes if n not in side]
     at = 3 + fleet.random.random()
-    fleet.later(at, lambda: fleet.net.split(side, rest))
+    fleet.call_later(at, lambda: fleet.net.split(side, rest))
     base.write(fleet, at + 0.1, "amid-cut")
     base.write(fleet, at + 2.5, "in-cut")
-    fleet.later(at + 5, fleet.net.heal)
+    fleet.call_later(at + 5, fleet.net.heal)
     return at + 5
 
 
@@ -105,9 +105,9 @@
     """Cuts one machine off for four seconds, as cut(others) says, with a write right after."""
     others = [n for n in fleet.machines if n not in (name, "outside")]
     at = 3 + fleet.random.random()
-    fleet.later(at, lambda: cut(others))
+    fleet.call_later(at, lambda: cut(others))
     base.write(fleet, at + 0.02, "amid-cut")
-    fleet.later(at + 4, fleet.net.heal)
+    fleet.call_later(at + 4, fleet.net.heal)
     return at + 4
 
 
@@ -137,10 +137,10 @@
 def configuration_race(fleet):
     def race(n):
         base = max(w["sequence"] for w in fleet.writes)
-        for who in "abc":
-            fleet.operator(lambda who=who: fleet.apply(f"race-{n}-{who}", base))
+        for operator in "abc":
+            fleet.operator(lambda operator=operator: fleet.apply(f"race-{n}-{operator}", base))
 
     for n in range(4):
-        fleet.later(3 + n, lambda n=n: race(n))
+        fleet.call_later(3 + n, lambda n=n: race(n))
     base.on_leader(fleet, 4.0 + 0.01 * fleet.random.random(), base.kill_and_back(fleet))
     return 8
--- a/tools/simulator/scenarios_disks.py
+++ b/tools/simulator/scenarios_disks.py
@@ -13,9 +13,9 @@
     base.on_leader(fleet, 3, act)
     for n in range(8):
         base.write(fleet, 2.95 + n * 0.5, f"disk-{n}")
-    fleet.later(3 + least, lambda: mend(fleet.disks[box[0]]))
-    fleet.later(5.5 + least, lambda: fleet.kill(box[0]))
-    fleet.later(6.5 + least, lambda: fleet.start(box[0]))
+    fleet.call_later(3 + least, lambda: mend(fleet.disks[box[0]]))
+    fleet.call_later(5.5 + least, lambda: fleet.kill(box[0]))
+    fleet.call_later(6.5 + least, lambda: fleet.start(box[0]))
     return 6.5 + least
 
 
@@ -48,12 +48,12 @@
             name = fleet.leader() or fleet.random.choice(fleet.names("keep"))
             fleet.kill(name)
             fleet.wipe(name)
-            fleet.later(1.5, lambda: fleet.start(name))
+            fleet.call_later(1.5, lambda: fleet.start(name))
         else:
-            fleet.later(0.005, watch)
+            fleet.call_later(0.005, watch)
 
     base.write(fleet, 3, "then-wiped")
-    fleet.later(3, watch)
+    fleet.call_later(3, watch)
     base.write(fleet, 12, "later")
     return 8
 
@@ -65,7 +65,7 @@
 
     def watch():
         if len(fleet.writes) == count:
-            fleet.later(0.002, watch)
+            fleet.call_later(0.002, watch)
             return
         leader = fleet.leader() or "keep-1"
         keeps = fleet.names("keep")
@@ -75,8 +75,8 @@
         fleet.kill(wiped)
         fleet.wipe(wiped)
         fleet.net.split([leader], [n for n in fleet.machines if n not in (leader, "outside")])
-        fleet.later(0.5, lambda: fleet.start(wiped))
-        fleet.later(8.0, fleet.net.heal)
+        fleet.call_later(0.5, lambda: fleet.start(wiped))
+        fleet.call_later(8.0, fleet.net.heal)
 
     def slow_one():
         leader = fleet.leader() or "keep-1"
@@ -84,8 +84,8 @@
         fleet.net.cut(leader, late)  # it misses the write
         fleet.operator(lambda: fleet.apply("then-wiped"))
 
-    fleet.later(3, slow_one)
-    fleet.later(3, watch)
+    fleet.call_later(3, slow_one)
+    fleet.call_later(3, watch)
     return 12
 
 
@@ -104,7 +104,7 @@
         fleet.kill(name)
         fleet.wipe(name)
         fleet.move(name, "10.1.9.9:70")
-        fleet.later(1.5, lambda: fleet.start(name))
+        fleet.call_later(1.5, lambda: fleet.start(name))
 
     base.on_leader(fleet, 3, act)
     base.write(fleet, 4, "while-gone")
@@ -117,7 +117,7 @@
     """Each keeper goes for good; another machine takes its place."""
     for n, name in enumerate(fleet.names("keep")):
         at = 2 + 9 * n
-        fleet.later(at, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
-        fleet.later(at + 1, lambda name=name: fleet.kill(name))
+        fleet.call_later(at, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
+        fleet.call_later(at + 1, lambda name=name: fleet.kill(name))
         base.write(fleet, at + 6, f"swap-{n}")
     return 2 + 9 * 3 + 1
--- a/tools/simulator/scenarios_final_faults.py
+++ b/tools/simulator/scenarios_final_faults.py
@@ -40,15 +40,15 @@
     """The leader is cut from the other keepers, not from operators; two race at it then."""
     latest = max(w["sequence"] for w in fleet.writes)
     fleet.net.split([leader], [k for k in fleet.names("keep") if k != leader])
-    for who in "ab":
-        fleet.operator(lambda who=who: fleet.apply(f"cut-{who}", latest))
-    fleet.later(6, fleet.net.heal)
+    for operator in "ab":
+        fleet.operator(lambda operator=operator: fleet.apply(f"cut-{operator}", latest))
+    fleet.call_later(6, fleet.net.heal)
 
 
 def bad_disk(fleet, leader, fault):
     setattr(fleet.disks[leader], fault, True)
     base.write(fleet, 0.1, f"into-{fault}")
-    fleet.later(3, lambda: setattr(fleet.disks[leader], fault, False))
+    fleet.call_later(3, lambda: setattr(fleet.disks[leader], fault, False))
     base.restart_machine(fleet, leader, 4, 1)
 
 
@@ -66,20 +66,20 @@
 def stall(fleet, leader):
     fleet.disks[leader].delay = 2.0
     base.write(fleet, 0.1, "into-a-stalled-disk")
-    fleet.later(4, lambda: setattr(fleet.disks[leader], "delay", 0.0))
+    fleet.call_later(4, lambda: setattr(fleet.disks[leader], "delay", 0.0))
 
 
 @lambda act: closing("wipe", act)
 def wipe(fleet, leader):
     fleet.kill(leader)
     fleet.wipe(leader)
-    fleet.later(1.5, lambda: fleet.start(leader))
+    fleet.call_later(1.5, lambda: fleet.start(leader))
 
 
 @lambda act: closing("race", act)
 def race(fleet, leader):
     """Operators race over one base while the leader dies."""
     latest = max(w["sequence"] for w in fleet.writes)
-    for who in "abc":
-        fleet.operator(lambda who=who: fleet.apply(f"close-{who}", latest))
-    fleet.later(0.004 * fleet.random.random(), lambda: base.kill_and_back(fleet, 2.0)(leader))
+    for operator in "abc":
+        fleet.operator(lambda operator=operator: fleet.apply(f"close-{operator}", latest))
+    fleet.call_later(0.004 * fleet.random.random(), lambda: base.kill_and_back(fleet, 2.0)(leader))
--- a/tools/simulator/scenarios_processes.py
+++ b/tools/simulator/scenarios_processes.py
@@ -19,9 +19,9 @@
         if fleet.parts[name].in_flight and held:
             base.restart_machine(fleet, name, 0)
         else:
-            fleet.later(0.002, watch)
+            fleet.call_later(0.002, watch)
 
-    fleet.later(3 + fleet.random.random(), watch)
+    fleet.call_later(3 + fleet.random.random(), watch)
     return 9
 
 
@@ -52,7 +52,7 @@
 @base.scenario
 def freeze_router(fleet):
     at = 3 + fleet.random.random()
-    fleet.later(
+    fleet.call_later(
         at, lambda: fleet.machines[fleet.random.choice(fleet.names("route"))].freeze(1 + 4 * fleet.random.random())
     )
     base.write(fleet, at + fleet.random.random() * 0.3 - 0.1, "amid-freeze")
@@ -67,7 +67,7 @@
     """
     for name in fleet.names("replica"):
         fleet.parts[name].refuses_older = False
-    base.freeze_at(fleet, "watch")
+    base.freeze_at(fleet, "before_connect")
     return 9
 
 
@@ -84,7 +84,7 @@
 def polite_stops(fleet):
     """Routers and the leading keeper are stopped politely, one after another."""
     for n, name in enumerate(fleet.names("route")):
-        fleet.later(2 + 3 * n, lambda name=name: stop_router(fleet, name))
+        fleet.call_later(2 + 3 * n, lambda name=name: stop_router(fleet, name))
     base.on_leader(fleet, 4, lambda name: stop_keeper(fleet, name))
     return 2 + 3 * len(fleet.names("route")) + 3
 
@@ -93,8 +93,8 @@
     def run():
         fleet.parts[name].drain(15.0)
         fleet.net.apps.pop(fleet.settings[name]["http"])  # the server closes its door, then ends its answers
-        fleet.later(0.05, lambda: fleet.kill(name, planned=True))
-        fleet.later(1.0, lambda: fleet.start(name))
+        fleet.call_later(0.05, lambda: fleet.kill(name, planned=True))
+        fleet.call_later(1.0, lambda: fleet.start(name))
 
     fleet.loop.spawn(fleet.machines[name], run)
 
@@ -102,8 +102,8 @@
 def stop_keeper(fleet, name):
     def run():
         fleet.parts[name].drain()
-        fleet.later(0.0, lambda: fleet.kill(name, planned=True))
-        fleet.later(1.0, lambda: fleet.start(name))
+        fleet.call_later(0.0, lambda: fleet.kill(name, planned=True))
+        fleet.call_later(1.0, lambda: fleet.start(name))
 
     fleet.loop.spawn(fleet.machines[name], run)
 
@@ -120,17 +120,17 @@
             base.restart_machine(fleet, fleet.random.choice(keeps + routes), at, span)
         elif kind == "freeze":
             name = fleet.random.choice(keeps + routes)
-            fleet.later(at, lambda name=name, span=span: fleet.machines[name].freeze(span))
+            fleet.call_later(at, lambda name=name, span=span: fleet.machines[name].freeze(span))
         elif kind == "cut":
             pair = fleet.random.sample(keeps + routes, 2)
-            fleet.later(at, lambda pair=pair: fleet.net.cut(*pair))
-            fleet.later(at + span, fleet.net.heal)
+            fleet.call_later(at, lambda pair=pair: fleet.net.cut(*pair))
+            fleet.call_later(at + span, fleet.net.heal)
         elif kind == "crash":
             base.restart_machine(fleet, fleet.random.choice(replicas), at, span)
         elif kind == "leader":
             base.on_leader(fleet, at, base.kill_and_back(fleet, span))
         elif kind == "lapse":
-            fleet.later(at, lambda: base.lapse(fleet))
+            fleet.call_later(at, lambda: base.expire_memory(fleet))
         base.write(fleet, at + 0.2 * fleet.random.random() - 0.1, f"any-{n}")
         ends.append(at + span)
     return max(ends) + 1
--- a/tools/simulator/scenarios_quorum.py
+++ b/tools/simulator/scenarios_quorum.py
@@ -15,7 +15,7 @@
     """The machine loses its disk and starts again where it was."""
     fleet.kill(name)
     fleet.wipe(name)
-    fleet.later(back, lambda: fleet.start(name))
+    fleet.call_later(back, lambda: fleet.start(name))
 
 
 def replace(fleet, name, newcomer, at):
@@ -26,28 +26,28 @@
         fleet.seeds = [fleet.settings[k]["address"] for k in living(fleet)][:3]
         fleet.add_keeper(newcomer, at, f"10.1.7.{at + 1}:70")
 
-    fleet.later(1.0, come)
+    fleet.call_later(1.0, come)
 
 
 def living(fleet):
     return [name for name in fleet.names("keep") if fleet.machines[name].alive]
 
 
-def after_next_write(fleet, at, mark, act, attempts=2000):
+def after_next_write(fleet, at, order_id, act, max_polls=2000):
     """At the next acknowledged write, act(); the write is sent now."""
 
     def start():
         count = len(fleet.writes)
-        fleet.operator(lambda: fleet.apply(mark))
-        watch(count, attempts)
+        fleet.operator(lambda: fleet.apply(order_id))
+        watch(count, max_polls)
 
     def watch(count, left):
         if len(fleet.writes) > count:
             act()
         elif left:
-            fleet.later(0.005, lambda: watch(count, left - 1))
+            fleet.call_later(0.005, lambda: watch(count, left - 1))
 
-    fleet.later(at, start)
+    fleet.call_later(at, start)
 
 
 @base.scenario
@@ -57,12 +57,12 @@
 
     def cut(name):
         fleet.operator(lambda: fleet.apply("pending-at-the-cut"))
-        fleet.later(0.003, lambda: fleet.net.split([name, route], [k for k in fleet.names("keep") if k != name]))
+        fleet.call_later(0.003, lambda: fleet.net.split([name, route], [k for k in fleet.names("keep") if k != name]))
 
     base.on_leader(fleet, 3, cut)
     for n in range(12):
         base.write(fleet, 4.5 + 1.5 * n, f"in-the-cut-{n}")
-    fleet.later(23, fleet.net.heal)
+    fleet.call_later(23, fleet.net.heal)
     return 23
 
 
@@ -102,9 +102,11 @@
     old = list(fleet.names("keep"))
     for n, name in enumerate(old):
         at = 3 + 8 * n
-        fleet.later(at, lambda n=n: fleet.add_keeper(f"keep-new-{n + 1}", n, f"10.1.7.{n + 1}:70"))
-        fleet.later(at + 1, lambda name=name: retire(fleet, name))
-        fleet.later(at + CATCH_UP + 0.1, lambda: base.kill_and_back(fleet, 1.0)(fleet.random.choice(living(fleet))))
+        fleet.call_later(at, lambda n=n: fleet.add_keeper(f"keep-new-{n + 1}", n, f"10.1.7.{n + 1}:70"))
+        fleet.call_later(at + 1, lambda name=name: retire(fleet, name))
+        fleet.call_later(
+            at + CATCH_UP + 0.1, lambda: base.kill_and_back(fleet, 1.0)(fleet.random.choice(living(fleet)))
+        )
         base.write(fleet, at + CATCH_UP + 0.2, f"after-replacement-{n}")
     return 3 + 8 * len(old)
 
@@ -114,7 +116,7 @@
 
     def run():
         fleet.parts[name].drain()
-        fleet.later(0.0, lambda: fleet.kill(name, planned=True))
+        fleet.call_later(0.0, lambda: fleet.kill(name, planned=True))
 
     fleet.loop.spawn(fleet.machines[name], run)
 
@@ -128,12 +130,14 @@
         box.append(fleet.random.choice(followers(fleet) or living(fleet)))
         fleet.kill(box[0])
 
-    fleet.later(3, stop)
+    fleet.call_later(3, stop)
     for n in range(300):
         base.write(fleet, 3.2 + 0.05 * n, f"many-{n}")
-    fleet.later(12, lambda: fleet.start(box[0]))
-    fleet.later(12 + CATCH_UP + 0.1, lambda: fleet.kill(fleet.random.choice([n for n in living(fleet) if n != box[0]])))
-    fleet.later(20, lambda: [fleet.start(name) for name in fleet.names("keep")])
+    fleet.call_later(12, lambda: fleet.start(box[0]))
+    fleet.call_later(
+        12 + CATCH_UP + 0.1, lambda: fleet.kill(fleet.random.choice([n for n in living(fleet) if n != box[0]]))
+    )
+    fleet.call_later(20, lambda: [fleet.start(name) for name in fleet.names("keep")])
     return 20
 
 
@@ -146,7 +150,7 @@
         names = living(fleet)
         for name in names:
             fleet.kill(name)
-        fleet.later(0.8, lambda: [fleet.start(name) for name in names])
+        fleet.call_later(0.8, lambda: [fleet.start(name) for name in names])
 
     after_next_write(fleet, 3 + 1.0 + CATCH_UP + 0.05, "then-all-off", all_off)
     return 10
@@ -160,7 +164,7 @@
         leader = fleet.leader() or living(fleet)[0]
         return [leader, fleet.random.choice([name for name in living(fleet) if name != leader])]
 
-    fleet.later(3, lambda: [base.kill_and_back(fleet, 3.0)(name) for name in pair()])
+    fleet.call_later(3, lambda: [base.kill_and_back(fleet, 3.0)(name) for name in pair()])
     base.write(fleet, 4.5, "while-two-are-down")
     after_next_write(fleet, 11, "then-two-wiped", lambda: [wipe_and_back(fleet, name) for name in pair()])
     base.write(fleet, 13, "after-the-wipes")
@@ -185,7 +189,7 @@
     base.on_leader(fleet, 3, cut)
     for n in range(6):
         base.write(fleet, 3.01 + 1.1 * n, f"in-the-cut-{n}")
-    fleet.later(11, fleet.net.heal)
+    fleet.call_later(11, fleet.net.heal)
     return 11
 
 
@@ -193,6 +197,6 @@
 def four_keepers_stopped_in_turn(fleet):
     """An even group: each keeper is stopped politely and starts again, one after another."""
     for n, name in enumerate(fleet.names("keep")):
-        fleet.later(3 + 6 * n, lambda name=name: scenarios_processes.stop_keeper(fleet, name))
+        fleet.call_later(3 + 6 * n, lambda name=name: scenarios_processes.stop_keeper(fleet, name))
         base.write(fleet, 4 + 6 * n, f"while-stopped-{n}")
     return 3 + 6 * 4
--- a/tools/simulator/scenarios_releases.py
+++ b/tools/simulator/scenarios_releases.py
@@ -43,12 +43,12 @@
         part = fleet.parts[name]
         part.drain(DRAIN) if name.startswith("route") else part.drain()
         fleet.loop.at(0.0, None, lambda: fleet.kill(name))
-        fleet.later(BACK, change)
+        fleet.call_later(BACK, change)
 
     if fleet.machines[name].alive:
         fleet.loop.spawn(fleet.machines[name], end)
     else:
-        fleet.later(BACK, change)
+        fleet.call_later(BACK, change)
 
 
 def pulse(fleet, until):
@@ -59,14 +59,14 @@
             if machine.alive and other != name:
                 fleet.net.send(machine, address, fleet.settings[other]["address"], "pulse", {"part": 0, "mark": 1})
     if fleet.loop.time < until:
-        fleet.later(0.5, lambda: pulse(fleet, until))
+        fleet.call_later(0.5, lambda: pulse(fleet, until))
 
 
 def roll(fleet, at, codec):
     """One process after the other is restarted as another release, routers before keepers; the end of it."""
     names = fleet.names("route") + fleet.names("keep")
     for number, name in enumerate(names):
-        fleet.later(at + STEP * number, lambda name=name: restart_with(fleet, name, codec))
+        fleet.call_later(at + STEP * number, lambda name=name: restart_with(fleet, name, codec))
     return at + STEP * len(names) + BACK
 
 
@@ -77,7 +77,7 @@
     half = roll(fleet, 2, codec)
     middle = half + 3
     end = roll(fleet, middle + 3, None)
-    fleet.later(1.9, lambda: pulse(fleet, fleet.loop.time + end))
+    fleet.call_later(1.9, lambda: pulse(fleet, fleet.loop.time + end))
     for number in range(8):
         base.write(fleet, 2.5 + number * (end - 3) / 8, f"release-{number}")
     base.on_leader(fleet, 2 + STEP * 1.5, base.kill_and_back(fleet))  # while routers of both releases hang on it
--- a/tools/simulator/scenarios_replicas.py
+++ b/tools/simulator/scenarios_replicas.py
@@ -14,15 +14,15 @@
 @base.scenario
 def replica_dark(fleet):
     name = fleet.random.choice(fleet.names("replica"))
-    fleet.later(3, lambda: fleet.parts[name].fault.update(dark_until=fleet.loop.time + 4))
+    fleet.call_later(3, lambda: fleet.parts[name].fault.update(dark_until=fleet.loop.time + 4))
     return 8
 
 
 @base.scenario
 def replica_lost(fleet):
     name = fleet.random.choice(fleet.names("replica"))
-    fleet.later(3, lambda: fleet.kill(name))
-    fleet.later(6, lambda: fleet.list.change(name, None))
+    fleet.call_later(3, lambda: fleet.kill(name))
+    fleet.call_later(6, lambda: fleet.list.change(name, None))
     return 7
 
 
@@ -30,14 +30,14 @@
 def rolling_replacement(fleet):
     for number, name in enumerate(fleet.names("replica")):
         at = 2 + 5 * number
-        fleet.later(
+        fleet.call_later(
             at,
             lambda n=name, k=number: (
                 fleet.add_replica("replica-new-" + n, 20 + k),
                 fleet.list.change(n, {"name": n, "state": "leaving"}),
             ),
         )
-        fleet.later(at + 4.5, lambda n=name: (fleet.kill(n, planned=True), fleet.list.change(n, None)))
+        fleet.call_later(at + 4.5, lambda n=name: (fleet.kill(n, planned=True), fleet.list.change(n, None)))
     return 2 + 5 * len(fleet.names("replica"))
 
 
@@ -48,24 +48,24 @@
         if holding:
             name = fleet.random.choice(holding)
             fleet.kill(name)
-            fleet.later(2, lambda: fleet.start(name))
+            fleet.call_later(2, lambda: fleet.start(name))
 
     for _ in range(40):
-        fleet.later(3 + 4 * fleet.random.random(), lambda: fleet.random.random() < 0.08 and act())
+        fleet.call_later(3 + 4 * fleet.random.random(), lambda: fleet.random.random() < 0.08 and act())
     return 10
 
 
 @base.scenario
 def memory_lapses(fleet):
     for at in range(6):
-        fleet.later(2 + at + fleet.random.random(), lambda: base.lapse(fleet))
+        fleet.call_later(2 + at + fleet.random.random(), lambda: base.expire_memory(fleet))
     return 9
 
 
 @base.scenario
 def slow_links(fleet):
-    fleet.later(2, lambda: [fleet.parts[n].fault.update(link=0.4) for n in fleet.names("replica")])
-    fleet.later(7, lambda: [fleet.parts[n].fault.pop("link", None) for n in fleet.names("replica")])
+    fleet.call_later(2, lambda: [fleet.parts[n].fault.update(link=0.4) for n in fleet.names("replica")])
+    fleet.call_later(7, lambda: [fleet.parts[n].fault.pop("link", None) for n in fleet.names("replica")])
     return 7
 
 
@@ -86,29 +86,33 @@
     """Bodies that are short, handles missing or foreign, streams cut, errors after a 200."""
     for n, fault in enumerate(["short_body", "no_handle", "foreign_handle", "cut_after", "error_after"]):
         at = 2 + 1.5 * n
-        fleet.later(at, lambda fault=fault: [fleet.parts[r].fault.update({fault: 1}) for r in fleet.names("replica")])
-        fleet.later(at + 1, lambda fault=fault: [fleet.parts[r].fault.pop(fault, None) for r in fleet.names("replica")])
+        fleet.call_later(
+            at, lambda fault=fault: [fleet.parts[r].fault.update({fault: 1}) for r in fleet.names("replica")]
+        )
+        fleet.call_later(
+            at + 1, lambda fault=fault: [fleet.parts[r].fault.pop(fault, None) for r in fleet.names("replica")]
+        )
     return 11
 
 
 @base.scenario
 def replicas_bounce(fleet):
     """The decode side bounces nearly everything for a while."""
-    fleet.later(3, lambda: [fleet.parts[n].fault.update(bounce="decode") for n in fleet.names("replica")])
-    fleet.later(8, lambda: [fleet.parts[n].fault.pop("bounce", None) for n in fleet.names("replica")])
+    fleet.call_later(3, lambda: [fleet.parts[n].fault.update(bounce="decode") for n in fleet.names("replica")])
+    fleet.call_later(8, lambda: [fleet.parts[n].fault.pop("bounce", None) for n in fleet.names("replica")])
     return 8
 
 
 @base.scenario
 def crowd(fleet):
-    fleet.later(3, lambda: fleet.load(60, 4, seed=f"{fleet.seed}-crowd"))
+    fleet.call_later(3, lambda: fleet.load(60, 4, seed=f"{fleet.seed}-crowd"))
     return 12
 
 
 @base.scenario
 def tenant_rush(fleet):
     """One tenant asks for far more than the replicas can do."""
-    fleet.later(3, lambda: fleet.load(260, 5, seed=f"{fleet.seed}-rush", tenants=fleet.plan["tenants"][:1]))
+    fleet.call_later(3, lambda: fleet.load(260, 5, seed=f"{fleet.seed}-rush", tenants=fleet.plan["tenants"][:1]))
     return 14
 
 
@@ -116,19 +120,19 @@
 def traffic_swing(fleet):
     long_prompt = {"summary": (1.0, 9000, 2048, 8, False, True)}
     long_answer = {"question": (1.0, 200, 256, 120, False, True)}
-    fleet.later(2, lambda: fleet.load(5, 8, seed=f"{fleet.seed}-prompts", kinds=long_prompt))
-    fleet.later(12, lambda: fleet.load(7, 8, seed=f"{fleet.seed}-answers", kinds=long_answer))
+    fleet.call_later(2, lambda: fleet.load(5, 8, seed=f"{fleet.seed}-prompts", kinds=long_prompt))
+    fleet.call_later(12, lambda: fleet.load(7, 8, seed=f"{fleet.seed}-answers", kinds=long_answer))
     return 22
 
 
 @base.scenario
 def leaving(fleet):
     name = fleet.random.choice(fleet.names("replica"))
-    fleet.later(3, lambda: fleet.list.change(name, {"name": name, "state": "leaving"}))
+    fleet.call_later(3, lambda: fleet.list.change(name, {"name": name, "state": "leaving"}))
     return 7
 
 
 @base.scenario
 def list_down(fleet):
-    fleet.later(3, lambda: fleet.list.down(6))
+    fleet.call_later(3, lambda: fleet.list.down(6))
     return 9
--- a/tools/simulator/scenarios_rollouts.py
+++ b/tools/simulator/scenarios_rollouts.py
@@ -6,17 +6,17 @@
 def leave(fleet, at, back=9.0):
     """A replica is shown leaving, and comes back later."""
     name = fleet.random.choice(fleet.names("replica"))
-    fleet.later(at, lambda: fleet.list.change(name, {"state": "leaving"}))
-    fleet.later(at + back, lambda: fleet.list.change(name, {"state": "ready"}))
+    fleet.call_later(at, lambda: fleet.list.change(name, {"state": "leaving"}))
+    fleet.call_later(at + back, lambda: fleet.list.change(name, {"state": "ready"}))
 
 
 @base.scenario
 def router_cut_from_list(fleet):
     """One router cannot read the list while a replica leaves; its neighbours can."""
     name = fleet.random.choice(fleet.names("route"))
-    fleet.later(2.5, lambda: fleet.net.cut(name, "list"))
+    fleet.call_later(2.5, lambda: fleet.net.cut(name, "list"))
     leave(fleet, 3)
-    fleet.later(14, fleet.net.heal)
+    fleet.call_later(14, fleet.net.heal)
     return 14
 
 
@@ -33,7 +33,7 @@
 def freeze_over_leaving(fleet):
     """A router sleeps through a replica's leaving and wakes with what it knew."""
     name = fleet.random.choice(fleet.names("route"))
-    fleet.later(2.9, lambda: fleet.machines[name].freeze(4.5 + fleet.random.random()))
+    fleet.call_later(2.9, lambda: fleet.machines[name].freeze(4.5 + fleet.random.random()))
     leave(fleet, 3)
     return 14
 
@@ -45,13 +45,13 @@
 
 
 def retire(fleet, name, at):
-    fleet.later(at, lambda: fleet.list.change(name, {"name": name, "state": "leaving"}))
-    fleet.later(at + 4.5, lambda: (fleet.kill(name, planned=True), fleet.list.change(name, None)))
+    fleet.call_later(at, lambda: fleet.list.change(name, {"name": name, "state": "leaving"}))
+    fleet.call_later(at + 4.5, lambda: (fleet.kill(name, planned=True), fleet.list.change(name, None)))
 
 
 def rename(fleet, names, at, gap=5):
     for number, name in enumerate(names):
-        fleet.later(
+        fleet.call_later(
             at + gap * number,
             lambda k=number: fleet.add_replica(f"replica-new-{k}", 20 + k, fleet.plan["model"] + "-c"),
         )
@@ -63,10 +63,10 @@
 def small_pool_renamed(fleet):
     """A pool shrunk to two replicas, one for each side, gets a new service's for both, the reader first."""
     names = fleet.names("replica")
-    fleet.spared = names[:2]
+    fleet.excluded_replicas = names[:2]
     for name in names[2:]:
         retire(fleet, name, 2)
-    fleet.later(9, lambda: rename(fleet, sorted(names[:2], key=lambda n: fleet.parts[n].role != "prefill"), 0, 8))
+    fleet.call_later(9, lambda: rename(fleet, sorted(names[:2], key=lambda n: fleet.parts[n].role != "prefill"), 0, 8))
     return 25
 
 
@@ -87,14 +87,14 @@
 @base.scenario
 def freeze_in_write(fleet):
     """A router freezes between its last check and the writing of a send, and sends late."""
-    base.freeze_at(fleet, "written")
+    base.freeze_at(fleet, "before_send")
     return 9
 
 
 def swap_keepers(fleet, at, gap=9):
     for n, name in enumerate(fleet.names("keep")):
-        fleet.later(at + gap * n, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
-        fleet.later(at + gap * n + 1, lambda name=name: fleet.kill(name, planned=True))
+        fleet.call_later(at + gap * n, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
+        fleet.call_later(at + gap * n + 1, lambda name=name: fleet.kill(name, planned=True))
     return at + gap * len(fleet.names("keep"))
 
 
@@ -122,8 +122,8 @@
 def kill_all_one_elsewhere(fleet):
     """All keepers die; one comes back with its disk at a new address."""
     for n, name in enumerate(fleet.names("keep")):
-        fleet.later(3, lambda name=name: fleet.kill(name))
-        fleet.later(4 + n, lambda name=name: fleet.start(name))
-    fleet.later(3.5, lambda: fleet.move("keep-1", "10.1.9.9:70"))
+        fleet.call_later(3, lambda name=name: fleet.kill(name))
+        fleet.call_later(4 + n, lambda name=name: fleet.start(name))
+    fleet.call_later(3.5, lambda: fleet.move("keep-1", "10.1.9.9:70"))
     base.write(fleet, 12, "after")
     return 4 + len(fleet.names("keep"))
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -49,22 +49,22 @@
 
 def simulated(job):
     minutes, seed, deployment, size = job
-    f = simulate.fleet_module.SimFleet(f"soak.{seed}", deployment, **simulate.shape_of(deployment, size))
+    f = simulate.fleet_module.SimFleet(f"soak.{seed}", deployment, **simulate.fleet_options(deployment, size))
     f.ready()
     done = []
 
     def hurt():
         name = f.random.choice(FAULTS)
         done.append(name)
-        f.turn = f"/{len(done)}"  # an id used again would be answered as accepted before
+        f.id_suffix = f"/{len(done)}"  # an id used again would be answered as accepted before
         scenarios.SCENARIOS[name](f)
         if len(done) * GAP < minutes * 60:
-            f.later(GAP, hurt)
+            f.call_later(GAP, hurt)
 
-    f.later(5, hurt)
+    f.call_later(5, hurt)
     f.load(f.plan["rate"], minutes * 60)
     f.run(minutes * 60 + GAP)
-    broken = final_checks.close(f)
+    broken = final_checks.settle_and_check(f)
     whole = sum(rows[-1]["end"] == "whole" for rows in recorded.asks(f.rows).values())
     tables = {
         "kept for neighbours": max(len(f.parts[n].backup_releases.entries) for n in f.names("route")),
@@ -129,7 +129,7 @@
     parser.add_argument("--seconds", type=float, default=240)
     parser.add_argument("--deployment", default="patinetes", choices=sorted(deployments.DEPLOYMENTS))
     args = parser.parse_args()
-    seeds = simulate.checked_seeds(parser, args)
+    seeds = simulate.parse_seeds(parser, args)
     if args.minutes < 1 or args.seconds < 30:
         parser.error("--minutes: at least 1; --seconds: at least 30")
     bad = 0
@@ -137,7 +137,7 @@
         broken = real(args.seconds, args.deployment)
         bad, rows = len(broken), [("", broken, "")]
     else:
-        rows = simulate.many([(args.minutes, s, args.deployment, "brief") for s in seeds], args.jobs, simulated)
+        rows = simulate.run_jobs([(args.minutes, s, args.deployment, "brief") for s in seeds], args.jobs, simulated)
     for job, broken, said in rows:
         if said:
             count, asked, whole, writes, tables = said
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -16,13 +16,13 @@
 import mothshed.storage.disk_log as disk_log
 
 
-def put(leader, **changes):
+def patch(target, **changes):
     """A patch of several attributes of one leader."""
-    return lambda: unittest.mock.patch.multiple(leader, **changes)
+    return lambda: unittest.mock.patch.multiple(target, **changes)
 
 
 @contextlib.contextmanager
-def write_on_after_fault():
+def write_after_error():
     """Member, log and disk all take a write after one that failed, in the same file."""
     with (
         unittest.mock.patch.object(member.Member, "fail_disk", lambda self, e: None),
@@ -34,21 +34,21 @@
         yield
 
 
-def repeat_unsafe(self, failure):
+def allow_unsafe_retries(self, failure):
     if self.chart.state == "relaying":
         raise verdict.StreamInterrupted(str(failure)) from failure
     if self.environment.now() >= self.request.cutoff:  # or it would go round without end
         self.raise_final_failure()
 
 
-def count_alone(self):
+def commit_without_majority(self):
     """Commits what the leader alone has written."""
     if self.log.last > self.commit_index:
         self.commit_index = self.log.last
         self.apply_all()
 
 
-def stage_anyway(self, index, command):
+def stage_without_comparison(self, index, command):
     self.latest += 1
     self.docs[self.latest] = {"doc": command["doc"], "by": command["by"], "id": command["id"]}
     self.drop_old_documents()
@@ -56,30 +56,30 @@
     return {"sequence": self.latest}
 
 
-def activate_at_once(self):
-    m = self.machine
-    if self.leading and m.latest > m.active and not self.activation_proposed:
+def activate_immediately(self):
+    machine = self.machine
+    if self.leading and machine.latest > machine.active and not self.activation_proposed:
         self.activation_proposed = True
-        self.member.propose({"op": "activate", "sequence": m.latest}, self.activation_finished)
+        self.member.propose({"op": "activate", "sequence": machine.latest}, self.activation_finished)
 
 
-def take_level(self, index, command):
+def repeat_fencing_token(self, index, command):
     if command["op"] == "take":
         self.order_leader, self.fencing_token = command["who"], 1
         return {"standing": 1}
-    return APPLY(self, index, command)
+    return ORIGINAL_APPLY(self, index, command)
 
 
-def confirm_alone(self, call):
+def confirm_without_majority(self, call):
     call(True)
 
 
-def sync_nothing(self, name):
+def skip_sync(self, name):
     pass
 
 
-def deaf_to_leaving(self, rows):
-    TAKE_LIST(self, {n: {**r, "leaving": False} for n, r in rows.items()})
+def ignore_leaving(self, rows):
+    ORIGINAL_UPDATE_LIST(self, {n: {**r, "leaving": False} for n, r in rows.items()})
 
 
 def reject_late(self, request, share, make_plan, readmission=False):
@@ -87,60 +87,60 @@
     raise verdict.Rejection(503, "late", 1)
 
 
-def reject_some(self):
+def reject_every_third(self):
     """A router that rejects every third request without need."""
-    TICKETS.append(None)
-    if len(TICKETS) % 3 == 0:
+    COUNTED.append(None)
+    if len(COUNTED) % 3 == 0:
         self.chart.step("bounce")
         raise verdict.Rejection(503, "without need", 1)
-    return ADMIT(self)
+    return ORIGINAL_ADMIT(self)
 
 
-def alone(self, selector):
+def ignore_other_parts(self, selector):
     """Each part plans for its own replicas as if they were the pool."""
-    ours, rest, rank = SHARED(self, selector)
-    return ours, {}, 0
+    own, others, rank = ORIGINAL_POOL_REPLICAS(self, selector)
+    return own, {}, 0
 
 
-def stop_at_once(self, timeout_s):
+def stop_immediately(self, timeout_s):
     with self.lock:
         self.stopping = True
     return True
 
 
-def first_come(self):
+def next_in_arrival_order(self):
     """One queue for all tenants, in the order of arrival."""
     rows = [t for q in self.queues.values() for t in q]
     return min(rows, key=lambda t: t.born, default=None)
 
 
-def numbered_entry(self, tenant, share, event):
+def init_numbered_entry(self, tenant, share, event):
     self.tenant, self.share, self.event = tenant, share, event
-    TICKETS.append(None)
-    self.born = len(TICKETS)
+    COUNTED.append(None)
+    self.born = len(COUNTED)
 
 
-def first_come_first_served():
+def serve_in_arrival_order():
     """All queues as one, unbounded per tenant, as a plain queue would be."""
     stack = contextlib.ExitStack()
-    stack.enter_context(put(admission.Admission, next_entry=first_come)())
-    stack.enter_context(put(admission.QueueEntry, __init__=numbered_entry)())
-    stack.enter_context(put(constants, MAX_TENANT_QUEUED_REQUESTS=constants.MAX_QUEUED_REQUESTS)())
+    stack.enter_context(patch(admission.Admission, next_entry=next_in_arrival_order)())
+    stack.enter_context(patch(admission.QueueEntry, __init__=init_numbered_entry)())
+    stack.enter_context(patch(constants, MAX_TENANT_QUEUED_REQUESTS=constants.MAX_QUEUED_REQUESTS)())
     return stack
 
 
-def any_handle(environment, request, name, place, sequence, left, ready):
-    handle = PREFILL(environment, request, name, place, sequence, left, ready)
-    KEPT.append(handle)
-    other = next((h for h in KEPT[:-1] if h.replica == handle.replica), handle)
+def mix_up_handles(environment, request, name, place, sequence, left, ready):
+    handle = ORIGINAL_PREFILL(environment, request, name, place, sequence, left, ready)
+    HANDLES.append(handle)
+    other = next((h for h in HANDLES[:-1] if h.replica == handle.replica), handle)
     return replica_adapter.Handle(name, handle.replica, handle.address, other.engine, other.params, handle.created_at)
 
 
-def loose_ends(self):
+def accept_truncated_streams(self):
     """A stream whose end is taken for whole wherever it is cut."""
     rows = []
     try:
-        for row in ITER(self):
+        for row in ORIGINAL_ITER(self):
             rows.append(row)
             yield row
     except verdict.SendFailure:
@@ -148,11 +148,11 @@
             raise
 
 
-ADMIT = request_execution.RequestExecution.admit
-SHARED = orders.OrderLeaderTask.pool_replicas
-APPLY = service_part.ServiceMachine.apply
-TAKE_LIST = replicas.Replicas.update_list
-PREFILL = replica_adapter.prefill
-ITER = replica_adapter.Stream.__iter__
-KEPT = []
-TICKETS = []
+ORIGINAL_ADMIT = request_execution.RequestExecution.admit
+ORIGINAL_POOL_REPLICAS = orders.OrderLeaderTask.pool_replicas
+ORIGINAL_APPLY = service_part.ServiceMachine.apply
+ORIGINAL_UPDATE_LIST = replicas.Replicas.update_list
+ORIGINAL_PREFILL = replica_adapter.prefill
+ORIGINAL_ITER = replica_adapter.Stream.__iter__
+HANDLES = []
+COUNTED = []
