--- /dev/null
+++ b/tools/simulator/final_checks.py
@@ -0,0 +1,67 @@
+"""The end of a simulated day: rest, read the configuration back, judge everything."""
+
+import collections
+
+import tools.judge as judge
+import tools.judge_traffic as judge_traffic
+import tools.read_back as read_back
+
+
+def check_control_plane(fleet):
+    """At the end every part has one leader and exactly the living keepers as members."""
+    errors, alive = [], [n for n in fleet.names("keep") if fleet.machines[n].alive]
+    for part in range(len(fleet.parts[alive[0]].members)):
+        members = {n: fleet.parts[n].members[part] for n in alive}
+        leaders = [n for n, s in members.items() if s.is_leader]
+        expected = sorted(s.member_id for s in members.values())
+        if len(leaders) != 1:
+            errors.append(f"part {part}: leaders {leaders}, states {[s.chart.state for s in members.values()]}")
+        elif sorted(members[leaders[0]].members) != expected:
+            errors.append(f"part {part}: members {sorted(members[leaders[0]].members)}, alive {expected}")
+    return errors
+
+
+def sample_pool(fleet, interval_s=0.25):
+    """Notes each moment in which the listed, living replicas have no prefill or no decode among them."""
+
+    def sample():
+        listed = [n for n, row in fleet.list.past[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive]
+        roles = collections.Counter(fleet.parts[n].role for n in listed)
+        fleet.pool_samples.append((fleet.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
+        fleet.call_later(interval_s, sample)
+
+    sample()
+
+
+def check_pool(fleet, max_gap_s=4.0):
+    """A pool is never without one side for longer than a new holder's silence and a look."""
+    errors, since = [], None
+    for at, whole in fleet.pool_samples:
+        since = None if whole else since or at
+        if since and at - since > max_gap_s:
+            errors.append(f"at {at:.2f} one side of the pool had been empty for {at - since:.2f} s")
+    return errors
+
+
+def read_path(fleet, path):
+    """What the keepers answer to a question of the operator's, or None."""
+    status, response = fleet.ask("GET", path, attempts=40)
+    return response if status == 200 else None
+
+
+def settle_and_check(fleet, release_grace_s=3.0):
+    """Lets everything come to rest, reads the configuration back, applies every rule."""
+    results = []
+    fleet.run(8.0)  # the last writes have got their answers: what is read now must hold them
+    ids = [row["id"] for row in fleet.writes] + list(fleet.refused)
+    fleet.operator(lambda: results.append(read_back.read_back(lambda path: read_path(fleet, path), ids)))
+    fleet.run(17.0)
+    final = results[0] if results else None
+    rules = judge.all_rules(
+        fleet.rows, fleet.ledger, fleet.writes, fleet.list.history(), final, fleet.refused, grace=0.0
+    )
+    rules["freed"] = judge_traffic.freed(fleet.ledger, fleet.loop.time - release_grace_s, fleet.memory_may_expire)
+    rules["control whole"] = check_control_plane(fleet)
+    rules["read back"] = [] if final else ["the configuration could not be read back"]
+    rules["no crash inside"] = [f"{at:.2f} {machine}: {e!r}" for at, machine, e in fleet.loop.errors]
+    return {rule: errors for rule, errors in rules.items() if errors}
