--- a/tests/test_lint_lists.py
+++ b/tests/test_lint_lists.py
@@ -7,7 +7,7 @@
 import tomllib
 
 ROOT = pathlib.Path(__file__).parent.parent
-LISTED_AT_MOST = 140  # entries (file and rule) in per-file-ignores; lower it when an entry goes, never raise it
+LISTED_AT_MOST = 136  # entries (file and rule) in per-file-ignores; lower it when an entry goes, never raise it
 TYPED_AT_LEAST = 47
 
 
