--- a/mothshed/http/caller.py
+++ b/mothshed/http/caller.py
@@ -1,9 +1,9 @@
-"""Who waits for a request's answer: whether it still does, and what ends when it leaves.
+"""The caller of a request: detects its disconnect and cancels the work for it.
 
-A caller has left once its side of the connection has ended, whatever it sent before: bytes
-beyond its request that nobody read don't make it present. The front's watcher looks at all
-connections that carry a request and cancels what is under way for those that have left; code
-that is about to begin something asks `has_left` itself.
+A caller counts as disconnected once it has closed its side of the connection, even if unread
+bytes beyond its request are left in it. The server's monitor thread checks all connections
+that carry a request and cancels the work for disconnected callers; code that is about to start
+work calls `has_disconnected` itself.
 """
 
 import select
@@ -12,45 +12,45 @@
 
 import mothshed.runtime.cancellation as cancellation
 
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-def hung_up(sock: socket.socket) -> bool:
-    """Whether the other side of a connection has ended it."""
-    look = select.poll()
+def peer_closed(sock: socket.socket) -> bool:
+    """Return whether the peer has closed or reset a connection."""
+    poller = select.poll()
     try:
-        look.register(sock, ENDED | select.POLLIN)
-        events = look.poll(0)
+        poller.register(sock, CLOSED_EVENTS | select.POLLIN)
+        events = poller.poll(0)
         if not events:
             return False
-        return bool(events[0][1] & ENDED) or sock.recv(1, socket.MSG_PEEK) == b""
+        return bool(events[0][1] & CLOSED_EVENTS) or sock.recv(1, socket.MSG_PEEK) == b""
     except (OSError, ValueError):
         return True
 
 
 class Caller:
-    """The caller of one request. conn: the front's connection that carries it; none for a request of our own."""
+    """The caller of one request. conn: the server connection that carries it; None for an internal request."""
 
     def __init__(self, conn: typing.Any = None) -> None:
         self.conn = conn
         self.arrived: float | None = conn.arrived if conn is not None else None
         self.cancellation = cancellation.Cancellation()
         if conn is not None:
-            conn.caller = self  # from here on the watcher finds it
-            if conn.left_at is not None:
+            conn.caller = self  # lets the monitor thread cancel this request
+            if conn.disconnected_at is not None:
                 self.cancellation.cancel()
 
-    def shut_after(self, moment: float) -> None:
-        """Past this moment, in seconds of the boot clock, the connection is shut, whoever stalls on it."""
+    def close_after(self, moment: float) -> None:
+        """Have the connection shut down after this time of the boot clock, even if the response is still being sent."""
         if self.conn is not None:
-            self.conn.due, self.conn.reading = moment, False
+            self.conn.deadline, self.conn.reading = moment, False
 
-    def has_left(self) -> bool:
-        """Whether nobody waits for the answer any more."""
+    def has_disconnected(self) -> bool:
+        """Return whether the caller no longer waits for the response."""
         if self.conn is None or self.cancellation.cancelled:
             return self.cancellation.cancelled
-        return hung_up(self.conn.socket)
+        return peer_closed(self.conn.socket)
 
-    def left_at(self) -> float | None:
-        """When it was first seen to have left, in seconds of the boot clock, or None."""
-        return self.conn.left_at if self.conn is not None else None
+    def disconnected_at(self) -> float | None:
+        """Return when the disconnect was first detected, in seconds of the boot clock, or None."""
+        return self.conn.disconnected_at if self.conn is not None else None
--- a/mothshed/programs/operator_client.py
+++ b/mothshed/programs/operator_client.py
@@ -7,7 +7,7 @@
 import urllib3
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 
 
 def follow_redirects(pool, method, url, body):
@@ -56,7 +56,7 @@
     """Return (status, answer) of one call; 503 and the error if there is no answer."""
     try:
         return follow_redirects(pool, method, url, body)
-    except web.FAULTS as error:
+    except http_client.TRANSPORT_ERRORS as error:
         return 503, {"error": {"message": f"{type(error).__name__}: {error}", "verdict": "may_have_run"}}
 
 
@@ -102,6 +102,6 @@
                 timeout=urllib3.Timeout(connect=1.0, read=2.0),
             )
             answers[address] = response.data.decode() if text else response.json()
-        except web.FAULTS:
+        except http_client.TRANSPORT_ERRORS:
             answers[address] = None
     return answers
--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -12,7 +12,7 @@
 
 import mothshed.configuration.settings as settings_module
 import mothshed.constants as constants
-import mothshed.http.front as front
+import mothshed.http.http_server as http_server
 import mothshed.programs.environment as environment_module
 import mothshed.runtime.log_buffer as log_buffer
 import mothshed.runtime.timers as timers
@@ -43,9 +43,9 @@
 
     def app(environ, start_response):
         is_ready = environ["PATH_INFO"] == path and ready()
-        return front.respond(start_response, 200 if is_ready else 503, {"ready": is_ready})
+        return http_server.respond(start_response, 200 if is_ready else 503, {"ready": is_ready})
 
-    server = front.Server(address, app, constants.READINESS_SERVER_THREADS)
+    server = http_server.Server(address, app, constants.READINESS_SERVER_THREADS)
     threading.Thread(target=server.safe_start, daemon=True).start()
 
 
