--- a/mothshed/configuration/lease.py
+++ b/mothshed/configuration/lease.py
@@ -37,7 +37,7 @@
         self.takes_changes = True  # False from a failed difference until the next document
         self.active, self.staged = 0, 0
         self.valid_until = 0.0
-        self.published = (0, 0.0, None)  # (active, until, document), read by other threads
+        self.published = (0, 0.0, None)  # (active, valid_until, document), read by other threads
         # mark of the last request; starts at the clock so that a restarted process never reuses a mark
         self.request_mark = int(environment.now() * constants.REQUEST_MARKS_PER_S)
         self.requested_at = {}  # mark -> time of the request
--- a/mothshed/control_plane/config_leader_task.py
+++ b/mothshed/control_plane/config_leader_task.py
@@ -1,6 +1,7 @@
 """Leader task of the configuration part: grants leases, distributes documents and activates staged ones.
 
-Every member applies `config_machine`; only the leader runs this task. It answers lease
+Documents are replicated whole, accepted by compare-and-set on the base sequence, and first staged, then
+activated. Every member applies `config_machine`; only the leader runs this task. It answers lease
 requests (each only after a majority has confirmed the leader), pushes numbered news
 records, collects acknowledgements, and activates a staged document once every possible
 leaseholder has either staged it or lost its lease. docs/configuration.md gives the timing argument.
--- a/mothshed/control_plane/config_machine.py
+++ b/mothshed/control_plane/config_machine.py
@@ -31,7 +31,7 @@
             return self.stage(index, command)
         if command["op"] == "activate" and self.active < command["sequence"] in self.docs:
             self.active = command["sequence"]
-            self.staged_log_index = {s: entry for s, entry in self.staged_log_index.items() if s > self.active}
+            self.staged_log_index = {s: log_index for s, log_index in self.staged_log_index.items() if s > self.active}
             self.drop_old_documents()
             self.notify_change("activate", self.active)
         return {"active": self.active}
--- a/mothshed/control_plane/leaseholder.py
+++ b/mothshed/control_plane/leaseholder.py
@@ -16,9 +16,8 @@
     active: int = 0  # the sequence that it serves
     last_request: float = 0.0  # time of its last request
     takes_changes: bool = False  # whether it accepts documents as differences
-    sent: dict[int, float] = dataclasses.field(
-        default_factory=dict
-    )  # sequence -> time at which its document was last sent
+    # sequence -> time at which its document was last sent
+    sent: dict[int, float] = dataclasses.field(default_factory=dict)
 
     def record_request(self, request: dict[str, typing.Any], now: float) -> None:
         """Record the state that a request reports. Less than before means that the process was restarted."""
--- a/tests/test_configuration_changes.py
+++ b/tests/test_configuration_changes.py
@@ -151,7 +151,9 @@
     member = leader_with_a_configuration()
     monkeypatch.setattr(constants, "MAX_BODY_BYTES", 6000)
     rows = [route(f"r{n}", f"h{n}") for n in range(40)]
-    taken = [
+    statuses = [
         operators.patch(member, 5 + n, 6 + n, {"deliver": {"itineraries": [row]}})[0] for n, row in enumerate(rows)
     ]
-    assert taken[0] == 200 and set(taken) == {200, 400, 412} and newest(member)["edition"] == 5 + taken.count(200)
+    assert (
+        statuses[0] == 200 and set(statuses) == {200, 400, 412} and newest(member)["edition"] == 5 + statuses.count(200)
+    )
--- a/tests/test_configuration_races.py
+++ b/tests/test_configuration_races.py
@@ -89,8 +89,8 @@
     member.confirm_leadership = confirm
     member.events.clear()
     assert operators.patch(member, 5, 6, {"withdraw": {"itineraries": ["r-one"]}})[0] == 504
-    waited = [timeout_s for event in member.events for timeout_s in event.timeouts]
-    assert waited == [constants.OPERATOR_CALL_TIMEOUT_S, pytest.approx(constants.OPERATOR_CALL_TIMEOUT_S - 0.3)]
+    timeouts = [timeout_s for event in member.events for timeout_s in event.timeouts]
+    assert timeouts == [constants.OPERATOR_CALL_TIMEOUT_S, pytest.approx(constants.OPERATOR_CALL_TIMEOUT_S - 0.3)]
 
 
 @STEADY
