--- a/mothshed/control_plane/operator_api.py
+++ b/mothshed/control_plane/operator_api.py
@@ -9,10 +9,9 @@
                               `taken`: the sequence that each order was assigned, or null
 GET /condition, /metrics      state and metrics of this keeper
 
-A keeper that does not lead part 0 redirects the client with 307 to a leader that it has
-heard from recently. Reads are confirmed by a majority; a leader without one answers 503
-immediately. A write whose outcome is not known in time is answered 504 with `may_have_run`;
-repeating it with the same id resolves it.
+A keeper that does not lead part 0 redirects the client with 307 to a leader that it has heard from recently.
+Reads are confirmed by a majority; a leader without one answers 503 immediately. A write whose outcome is not
+known in time is answered 504 with `may_have_run`; repeating it with the same id resolves it.
 """
 
 import collections.abc
@@ -68,18 +67,16 @@
         try:
             return table[path][method](environ, start_response)
         except http_server.BodyError as error:
-            return http_server.error_response(
-                start_response, error.status, error.reason, headers=[("Connection", "close")]
-            )
+            headers = [("Connection", "close")]
+            return http_server.error_response(start_response, error.status, error.reason, headers=headers)
 
     def get_condition(self, environ, start_response):
         condition = self.keeper.condition()
         return http_server.respond(start_response, 200 if condition["serving"] else 503, condition)
 
     def get_metrics(self, environ, start_response):
-        return http_server.respond(
-            start_response, 200, self.keeper.totals.text(self.keeper.environment.figures()).encode()
-        )
+        metrics = self.keeper.totals.text(self.keeper.environment.figures())
+        return http_server.respond(start_response, 200, metrics.encode())
 
     def redirect_to_leader(self, environ, start_response):
         """Respond 307 to the leader heard from recently, or 503 if there is none; None if this is the leader."""
@@ -87,9 +84,8 @@
             return None
         leader = self.member.members.get(leader_hint.recent_leader(self.member))
         if not leader:
-            return http_server.error_response(
-                start_response, 503, "the configuration part has no leader now", retry_after_s=constants.RETRY_AFTER_S
-            )
+            message = "the configuration part has no leader now"
+            return http_server.error_response(start_response, 503, message, retry_after_s=constants.RETRY_AFTER_S)
         query = environ.get("QUERY_STRING")
         location = f"http://{leader['http']}{environ['PATH_INFO']}" + (f"?{query}" if query else "")
         return http_server.respond(start_response, 307, {"leader": leader["http"]}, [("Location", location)])
@@ -214,9 +210,8 @@
 def respond_to_order(start_response: StartResponse, command: Command, result: Result) -> list[bytes]:
     """Respond to an order that was applied, or whose result is already known."""
     if "conflict" in result:
-        return http_server.error_response(
-            start_response, 409, f"base {command['base']} is not the latest", current=result["conflict"]
-        )
+        message = f"base {command['base']} is not the latest"
+        return http_server.error_response(start_response, 409, message, current=result["conflict"])
     return http_server.respond(start_response, 200, {"sequence": result["sequence"], "id": command["id"]})
 
 
--- a/tests/bare_http.py
+++ b/tests/bare_http.py
@@ -1,4 +1,4 @@
-"""Bare HTTP over plain sockets, for stand-ins that must be able to do it wrong."""
+"""Minimal HTTP on plain sockets, for stand-ins that must also be able to send malformed messages."""
 
 import dataclasses
 import socket
@@ -9,7 +9,7 @@
 class Request:
     method: str
     target: str
-    headers: list  # (name, value) as they came
+    headers: list  # (name, value) as received
     body: bytes
     conn: int  # number of its connection
 
@@ -20,40 +20,40 @@
         return [v for k, v in self.headers if k.lower() == name.lower()]
 
 
-def chunks(f):
+def read_chunked(file):
     data = b""
-    while size := int(f.readline().partition(b";")[0], 16):
-        data += f.read(size)
-        f.readline()
-    while f.readline().strip():
+    while size := int(file.readline().partition(b";")[0], 16):
+        data += file.read(size)
+        file.readline()
+    while file.readline().strip():
         pass
     return data
 
 
-def read_request(f, number):
-    """The next request on a connection, or None at its end."""
-    row = f.readline()
-    if not row.strip():
+def read_request(file, number):
+    """Read the next request of a connection; None at its end."""
+    line = file.readline()
+    if not line.strip():
         return None
-    method, target, version = row.decode("latin-1").split()
+    method, target, version = line.decode("latin-1").split()
     headers = []
-    while row := f.readline().strip():
-        name, colon, value = row.decode("latin-1").partition(":")
+    while line := file.readline().strip():
+        name, colon, value = line.decode("latin-1").partition(":")
         headers.append((name, value.strip()))
     request = Request(method, target, headers, b"", number)
     if request.get("Transfer-Encoding").lower() == "chunked":
-        request.body = chunks(f)
+        request.body = read_chunked(file)
     else:
-        request.body = f.read(int(request.get("Content-Length", "0")))
+        request.body = file.read(int(request.get("Content-Length", "0")))
     return request
 
 
 def head(status, headers):
-    rows = [f"HTTP/1.1 {status} Said", *(f"{k}: {v}" for k, v in headers), "", ""]
-    return "\r\n".join(rows).encode("latin-1")
+    lines = [f"HTTP/1.1 {status} Said", *(f"{k}: {v}" for k, v in headers), "", ""]
+    return "\r\n".join(lines).encode("latin-1")
 
 
-def whole(status, headers, body=b""):
+def response_bytes(status, headers, body=b""):
     return head(status, [*headers, ("Content-Length", len(body))]) + body
 
 
@@ -62,7 +62,7 @@
 
 
 class Listener:
-    """Takes connections and serves one request after another on each."""
+    """Accepts connections and serves the requests of each in turn."""
 
     def __init__(self):
         self.server = socket.create_server(("127.0.0.1", 0), backlog=64)
@@ -82,8 +82,8 @@
 
     def serve(self, conn, number):
         try:
-            with conn, conn.makefile("rb") as f:
-                while request := read_request(f, number):
+            with conn, conn.makefile("rb") as file:
+                while request := read_request(file, number):
                     if not self.answer(conn, request):
                         break
                 conn.shutdown(socket.SHUT_RDWR)
--- a/tests/platform_stand_in.py
+++ b/tests/platform_stand_in.py
@@ -43,7 +43,7 @@
         rows = [r.row() for r in list(self.replicas.values())]
         some, after = rows[int(at) : int(at) + self.page], int(at) + self.page
         body = json.dumps({"replicas": some, "next_token": str(after) if after < len(rows) else None}).encode()
-        conn.sendall(bare_http.whole(self.status, [("Content-Type", "application/json")], body))
+        conn.sendall(bare_http.response_bytes(self.status, [("Content-Type", "application/json")], body))
         return True
 
     def ran(self, ask_id):
@@ -87,16 +87,16 @@
 
     def answer(self, conn, request):
         if request.target == "/order" and request.get("Expect-Replica", self.name) != self.name:
-            conn.sendall(bare_http.whole(421, []))
+            conn.sendall(bare_http.response_bytes(421, []))
             return True
         if request.target == "/order":
             self.orders.append(json.loads(request.body))
-            conn.sendall(bare_http.whole(self.order_status, []))  # without a body
+            conn.sendall(bare_http.response_bytes(self.order_status, []))  # without a body
             return True
         if request.target.startswith("/kv-handle/") and request.method == "DELETE":
             name = urllib.parse.unquote(request.target.rpartition("/")[2])
             self.freed.append(name)
-            conn.sendall(bare_http.whole(200 if self.held.pop(name, None) else 404, []))
+            conn.sendall(bare_http.response_bytes(200 if self.held.pop(name, None) else 404, []))
             return True
         fault = self.faults.popleft() if self.faults else self.always
         self.asked.append(request)
@@ -115,14 +115,14 @@
         more = [("Try-Id", fault.get("id", own)), *fault.get("headers", ())]
         status = self.turned_away(request, fault)
         if status:
-            conn.sendall(bare_http.whole(status, [*more, ("Not-Run", "1")], b"not run"))
+            conn.sendall(bare_http.response_bytes(status, [*more, ("Not-Run", "1")], b"not run"))
             return True
         reads = request.get("Leg") == "prefill"
         if reads and "run" not in fault and "own" not in fault:
             name = f"h/{next(COUNT)}"  # a name that has to be quoted where it stands in a path
             self.held[name] = own
             body = json.dumps({"consignment": name, "tokens": 1, "edition": 1}).encode()
-            conn.sendall(bare_http.whole(200, [*more, ("Content-Type", "application/json")], body))
+            conn.sendall(bare_http.response_bytes(200, [*more, ("Content-Type", "application/json")], body))
             return True
         return self.run(conn, request, fault, more)
 
@@ -150,14 +150,14 @@
         if fault.get("stamp", True):
             more = [*more, ("Postmark", stamp), ("Weight-Versions", "m=1")]
         if "own" in fault:
-            conn.sendall(bare_http.whole(fault["own"], more, b"own failure"))
+            conn.sendall(bare_http.response_bytes(fault["own"], more, b"own failure"))
             return True
         if "cut" in fault:
             more = [*more, ("X-Last", "12345678"), ("Content-Length", 100)]
             conn.sendall(bare_http.head(200, more)[: -fault["cut"]])
             return False
         if not self.facts["events"]:
-            data = bare_http.whole(200, [*more, ("Content-Type", "text/x-own")], self.facts["body"])
+            data = bare_http.response_bytes(200, [*more, ("Content-Type", "text/x-own")], self.facts["body"])
             conn.sendall(data[: len(data) - 2] if "break" in fault else data)
             return "break" not in fault
         return self.stream(conn, request, fault, more, fault.get("after", after))
@@ -185,7 +185,9 @@
             finally:
                 conn.settimeout(None)
         conn.sendall(b"0\r\n\r\n")
-        odd = bare_http.whole(200, [("Try-Id", "long-gone"), ("Postmark", "stamp.0")], b"id: 1\ndata: surplus\n\n")
+        odd = bare_http.response_bytes(
+            200, [("Try-Id", "long-gone"), ("Postmark", "stamp.0")], b"id: 1\ndata: surplus\n\n"
+        )
         if "late" in fault:
             conn.sendall(odd)
         if "stale" in fault:
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -55,7 +55,7 @@
         stamp = f"stamp.{next(stand_in.COUNT)}"
         service = self.lives[request.get("Expect-Replica", self.name)]
         self.platform.runs.append({"id": request.get("Try-Id"), "service": service})
-        data = bare_http.whole(200, [*more, ("Postmark", stamp)], whole)
+        data = bare_http.response_bytes(200, [*more, ("Postmark", stamp)], whole)
         conn.sendall(data[: len(data) - 2] if "break" in fault else data)
         if "late" in fault:
             conn.sendall(data)
--- a/tests/test_cancellation.py
+++ b/tests/test_cancellation.py
@@ -1,4 +1,4 @@
-"""A cancellation ends the wait under way and every later one, and never touches a socket that was let go."""
+"""A cancellation ends the current and every later wait, and never touches a released socket."""
 
 import socket
 import threading
@@ -21,7 +21,7 @@
     right.close()
 
 
-def ended(sock):
+def is_closed(sock):
     sock.settimeout(0)
     try:
         return sock.recv(1) == b""
@@ -29,30 +29,30 @@
         return False
 
 
-def test_a_wait_under_way_ends_and_so_does_one_that_begins_later(pair):
+def test_a_cancellation_ends_the_current_wait_and_later_ones(pair):
     cancellation, waited = cancellation_module.Cancellation(), []
     cancellation.hold(pair[0])
     waiter = threading.Thread(target=lambda: waited.append(pair[0].recv(1)))
     waiter.start()
     cancellation.cancel()
     waiter.join(10)
-    assert waited == [b""] and ended(pair[1])
+    assert waited == [b""] and is_closed(pair[1])
     others = socket.socketpair()
     cancellation.hold(others[0])
-    assert ended(others[1])
+    assert is_closed(others[1])
     for sock in others:
         sock.close()
 
 
-def test_a_socket_that_was_let_go_is_left_alone(pair):
+def test_a_released_socket_is_not_shut_down(pair):
     cancellation = cancellation_module.Cancellation()
     cancellation.hold(pair[0])
     cancellation.release()
     cancellation.cancel()
-    assert not ended(pair[1]) and cancellation.cancelled
+    assert not is_closed(pair[1]) and cancellation.cancelled
 
 
-def test_a_socket_that_has_ended_already_is_no_fault(pair):
+def test_cancelling_with_a_closed_socket_is_no_error(pair):
     cancellation = cancellation_module.Cancellation()
     cancellation.hold(pair[0])
     pair[0].close()
@@ -61,19 +61,19 @@
 
 
 class Server(bare_http.Listener):
-    """Answers at once, or not at all for a path that says so."""
+    """Responds at once, or never to /silent."""
 
     def __init__(self):
-        self.asked, self.left = threading.Event(), threading.Event()
+        self.requested, self.disconnected = threading.Event(), threading.Event()
         super().__init__()
 
     def answer(self, conn, request):
         if request.target == "/silent":
-            self.asked.set()
+            self.requested.set()
             if conn.recv(1) == b"":
-                self.left.set()
+                self.disconnected.set()
             return False
-        conn.sendall(bare_http.whole(200, [("Keep-Alive", "timeout=9")], b"body"))
+        conn.sendall(bare_http.response_bytes(200, [("Keep-Alive", "timeout=9")], b"body"))
         return True
 
 
@@ -88,41 +88,41 @@
     return connections.exchange("POST", server.address, target, {}, b"", 60.0, cancellation=cancellation)
 
 
-def test_an_exchange_without_a_head_is_ended_and_may_have_run(server):
-    cancellation, faults = cancellation_module.Cancellation(), []
+def test_a_cancelled_exchange_without_response_headers_may_have_run(server):
+    cancellation, errors = cancellation_module.Cancellation(), []
 
     def send():
-        with pytest.raises(http_client.ExchangeError) as fault:
+        with pytest.raises(http_client.ExchangeError) as error_info:
             exchange(connection_pool.ConnectionPool(clock.now), server, "/silent", cancellation)
-        faults.append(fault.value)
+        errors.append(error_info.value)
 
     sender = threading.Thread(target=send)
     sender.start()
-    assert server.asked.wait(10)
+    assert server.requested.wait(10)
     cancellation.cancel()
     sender.join(10)
-    assert faults[0].sent and server.left.wait(10)
+    assert errors[0].sent and server.disconnected.wait(10)
 
 
-@pytest.mark.parametrize("whole_first", [True, False], ids=["after the body", "before its end"])
-def test_a_connection_is_used_again_only_if_it_was_let_go_first(server, whole_first):
+@pytest.mark.parametrize("complete_first", [True, False], ids=["after the body", "before its end"])
+def test_a_connection_is_reused_only_if_it_was_released_before_the_cancellation(server, complete_first):
     connections, cancellation = connection_pool.ConnectionPool(clock.now), cancellation_module.Cancellation()
     reply = exchange(connections, server, "/", cancellation)
-    if whole_first:
+    if complete_first:
         assert reply.all() == b"body"
         cancellation.cancel()
     else:
         cancellation.cancel()
         try:
-            reply.all()  # what has come already may still be read
+            reply.all()  # bytes that have already arrived may still be read
         except http_client.ExchangeError:
             reply.close()
     assert exchange(connections, server, "/", None).all() == b"body"
-    assert (connections.reused_count, connections.opened_count) == ((1, 1) if whole_first else (0, 2))
+    assert (connections.reused_count, connections.opened_count) == ((1, 1) if complete_first else (0, 2))
 
 
 class Connection:
-    """The front's connection as a caller sees it."""
+    """The attributes of a server connection that Caller uses."""
 
     arrived, disconnected_at, caller = 3.0, None, None
 
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"more than was asked"])
-def test_a_caller_that_closed_has_left_whatever_it_sent_before(pair, sent):
+def test_a_caller_that_closed_is_disconnected_whatever_it_sent_before(pair, sent):
     found = caller.Caller(Connection(pair[0]))
     pair[1].sendall(sent)
     assert not found.has_disconnected()
@@ -139,7 +139,7 @@
     assert found.has_disconnected()
 
 
-def test_a_caller_that_reset_its_connection_has_left():
+def test_a_caller_that_reset_its_connection_is_disconnected():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         far = socket.create_connection(listener.getsockname())
         near = listener.accept()[0]
@@ -149,7 +149,7 @@
             assert caller.Caller(Connection(near)).has_disconnected()
 
 
-def test_a_request_read_after_its_caller_left_is_cancelled_from_the_start(pair):
+def test_a_request_read_after_its_caller_disconnected_is_cancelled_from_the_start(pair):
     connection = Connection(pair[0])
     connection.disconnected_at = 5.0
     found = caller.Caller(connection)
@@ -157,7 +157,7 @@
     assert connection.caller is found
 
 
-def test_a_request_without_a_connection_has_a_caller_that_stays():
+def test_a_request_without_a_connection_has_a_caller_that_never_disconnects():
     found = caller.Caller()
     found.close_after(1.0)
     assert not found.has_disconnected() and found.disconnected_at() is None
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""Crowds on real sockets: the silent, the half-spoken, the slow and those who hang up."""
+"""Many connections on real sockets: silent, half-sent, slow, and closed by the caller."""
 
 import contextlib
 import json
@@ -20,14 +20,14 @@
         yield found
 
 
-def lines(router, count, data=b""):
-    """So many connections to a router that say this much and no more."""
+def connect(router, count, data=b""):
+    """Open `count` connections to a router that each send these bytes and nothing more."""
     host, port = router.rsplit(":", 1)
     found = []
     for _ in range(count):
-        line = socket.create_connection((host, int(port)), 10)
-        line.sendall(data)
-        found.append(line)
+        connection = socket.create_connection((host, int(port)), 10)
+        connection.sendall(data)
+        found.append(connection)
     return found
 
 
@@ -39,11 +39,11 @@
 
 
 @pytest.mark.parametrize("data", [b"", b"POST /v1/comp", HALF], ids=["silent", "half a head", "half a body"])
-def test_more_idle_connections_than_threads_keep_nobody_out(fleet, data):
+def test_more_stalled_connections_than_threads_block_no_request(fleet, data):
     router = fleet.settings["route-1"]["http"]
     with contextlib.ExitStack() as stack:
-        for line in lines(router, 400, data):
-            stack.enter_context(line)
+        for connection in connect(router, 400, data):
+            stack.enter_context(connection)
         rows = [
             callers.send(
                 environment_module.Tasks(),
@@ -56,7 +56,7 @@
         assert [r["end"] for r in rows] == ["whole"] * 3
 
 
-def ask(name, tokens, stream=True):
+def request_bytes(name, tokens, stream=True):
     body = json.dumps({"model": "shift-notes", "prompt": "x" * 3000, "max_tokens": tokens, "stream": stream}).encode()
     return HEAD.format(name, len(body)).encode() + body
 
@@ -65,23 +65,23 @@
     return [r for r in fleet.ledger() if r.get("request") == name]
 
 
-def test_who_hangs_up_before_the_answer_gets_no_decode_and_holds_nothing(fleet):
+def test_a_disconnect_before_the_response_prevents_the_decode_and_releases_the_handles(fleet):
     router = fleet.settings["route-1"]["http"]
-    lines(router, 1, ask("left-early", 50))[0].close()
+    connect(router, 1, request_bytes("left-early", 50))[0].close()
     fleet.wait_http(router, "/condition", lambda c: c["flight"] == 0 and c["frees_left"] == 0)
     kinds = [r["kind"] for r in ledger_of(fleet, "left-early")]
     assert "decoded" not in kinds and kinds.count("export") == kinds.count("free")
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_who_hangs_up_within_the_answer_ends_the_decode(fleet, stream):
+def test_a_disconnect_during_the_response_ends_the_decode(fleet, stream):
     router, name = fleet.settings["route-1"]["http"], f"left-{stream}"
-    line = lines(router, 1, ask(name, 400, stream))[0]
-    for at in fleet.replica_at.values():  # until one of them writes
+    connection = connect(router, 1, request_bytes(name, 400, stream))[0]
+    for at in fleet.replica_at.values():  # until one of them decodes
         with contextlib.suppress(TimeoutError):
             fleet.wait_http(at, "/condition", lambda c: c["role"] == "decode" and c["running"], 3)
             break
-    line.close()
+    connection.close()
     fleet.wait_http(router, "/condition", lambda c: c["flight"] == 0 and c["frees_left"] == 0)
     for at in fleet.replica_at.values():
         fleet.wait_http(at, "/condition", lambda c: c["running"] == 0)
@@ -89,7 +89,7 @@
     assert "pull" in kinds and "decoded" not in kinds and kinds.count("export") == kinds.count("free")
 
 
-def test_an_answer_nobody_takes_is_shut_at_its_cutoff():
+def test_a_response_that_is_not_read_is_closed_at_its_cutoff():
     closed = threading.Event()
 
     class Endless:
@@ -108,9 +108,9 @@
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
     try:
-        line = socket.create_connection(server.bind_addr[:2])
-        line.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+        connection = socket.create_connection(server.bind_addr[:2])
+        connection.sendall(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
         assert closed.wait(10)  # cheroot's own limit is twenty seconds
-        line.close()
+        connection.close()
     finally:
         server.stop()
--- a/tests/test_delivery_connections.py
+++ b/tests/test_delivery_connections.py
@@ -134,11 +134,11 @@
 
 def test_a_complete_response_leaves_its_connection_for_the_next_request(pool, serve):
     server = serve(
-        bare_http.whole(200, [], b"one"),
+        bare_http.response_bytes(200, [], b"one"),
         bare_http.head(200, [("Transfer-Encoding", "chunked")]) + bare_http.chunk(b"two") + b"0\r\n\r\n",
-        bare_http.whole(204, []),
-        bare_http.whole(200, [("Connection", "close")], b"end-here"),
-        bare_http.whole(200, [], b"new"),
+        bare_http.response_bytes(204, []),
+        bare_http.response_bytes(200, [("Connection", "close")], b"end-here"),
+        bare_http.response_bytes(200, [], b"new"),
     )
     assert [exchange(pool, server).all() for _ in range(5)] == [b"one", b"two", b"", b"end-here", b"new"]
     assert [r.conn for r in server.requests] == [1, 1, 1, 1, 2] and (pool.opened_count, pool.reused_count) == (2, 3)
@@ -146,7 +146,7 @@
 
 
 def test_the_connection_of_a_response_that_is_not_read_to_its_end_is_closed(pool, serve):
-    server = serve(bare_http.whole(200, [], b"x" * 100), bare_http.whole(200, [], b"y"))
+    server = serve(bare_http.response_bytes(200, [], b"x" * 100), bare_http.response_bytes(200, [], b"y"))
     exchange(pool, server).close()
     assert exchange(pool, server).all() == b"y" and [r.conn for r in server.requests] == [1, 2]
 
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("data", CUT, ids=repr)
 def test_a_truncated_body_is_an_error_and_its_connection_is_closed(pool, serve, data):
-    server = serve(data, bare_http.whole(200, [], b"y"))
+    server = serve(data, bare_http.response_bytes(200, [], b"y"))
     with pytest.raises(http_client.ExchangeError) as error:
         exchange(pool, server).all()
     assert error.value.sent
@@ -170,7 +170,7 @@
 
 
 def test_the_connection_of_a_body_delimited_by_close_is_not_kept(pool, serve):
-    server = serve(b"HTTP/1.1 200 OK\r\nX: end-here\r\n\r\nall of it", bare_http.whole(200, [], b"y"))
+    server = serve(b"HTTP/1.1 200 OK\r\nX: end-here\r\n\r\nall of it", bare_http.response_bytes(200, [], b"y"))
     with contextlib.suppress(http_client.ExchangeError):  # whether it is complete is unknown
         exchange(pool, server).all()
     assert exchange(pool, server).all() == b"y" and [r.conn for r in server.requests] == [1, 2]
@@ -189,7 +189,9 @@
 )
 @pytest.mark.parametrize("reused", [False, True])
 def test_an_error_after_the_request_was_written_proves_nothing_and_is_not_retried(pool, serve, reply, reused):
-    server = serve(*[bare_http.whole(200, [], b"one")] * reused, reply, bare_http.whole(200, [], b"never"))
+    server = serve(
+        *[bare_http.response_bytes(200, [], b"one")] * reused, reply, bare_http.response_bytes(200, [], b"never")
+    )
     if reused:
         exchange(pool, server).all()
     with pytest.raises(http_client.ExchangeError) as error:
@@ -198,7 +200,7 @@
 
 
 def test_a_refused_connection_or_a_failed_last_check_proves_that_nothing_was_sent(pool, serve):
-    server = serve(bare_http.whole(200, [], b"one"))
+    server = serve(bare_http.response_bytes(200, [], b"one"))
     with pytest.raises(http_client.ExchangeError) as error:
         exchange(pool, server, ready=lambda: False)
     assert not error.value.sent and str(error.value) == http_client.NOT_READY
--- a/tests/test_door_properties.py
+++ b/tests/test_door_properties.py
@@ -1,7 +1,7 @@
-"""The HTTP door under generated input.
+"""Property tests of the HTTP server.
 
-However the bytes are cut, joined, doubled or followed by others, each whole request reaches
-the app once, as it was sent, and each answer is its own.
+However the bytes are split, joined, duplicated or followed by others, each complete request
+reaches the app once, as it was sent, and gets its own response.
 """
 
 import itertools
@@ -21,7 +21,7 @@
 
 
 class Echo:
-    """A served app that answers each request with its own name and body, and keeps an account."""
+    """A served app that responds with the name and body of each request and records them."""
 
     def __init__(self):
         self.seen, self.lock = [], threading.Lock()
@@ -39,8 +39,8 @@
             self.seen.append((name, body))
         return http_server.respond(start, 200, b"%b=%b;" % (name.encode(), body))
 
-    def say(self, pieces, shut=True):
-        """Sends the pieces one by one; all that comes back until the end."""
+    def exchange(self, pieces, shut=True):
+        """Send the pieces one by one and return all bytes received until the end."""
         self.seen.clear()
         with socket.create_connection(self.address, 5) as conn:
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -66,7 +66,7 @@
 
 @strategies.composite
 def requests(draw, number):
-    """(name, body, bytes) of one proper request, with a length or in chunks."""
+    """(name, body, bytes) of one valid request, with a Content-Length or chunked."""
     name, body = b"n%d" % number, draw(strategies.binary(max_size=40))
     head = b"POST /p HTTP/1.1\r\nHost: h\r\nTry-Id: " + name + b"\r\n"
     if draw(strategies.booleans()):
@@ -85,8 +85,8 @@
     return [draw(requests(n)) for n in range(draw(strategies.integers(1, 4)))]
 
 
-def cut(data, places):
-    """The bytes in pieces, cut at these places."""
+def split(data, places):
+    """Split the bytes at these positions."""
     at = sorted({p % (len(data) + 1) for p in places} | {0, len(data)})
     return [data[a:b] for a, b in itertools.pairwise(at)]
 
@@ -96,50 +96,50 @@
 
 @BOUNDED
 @hypothesis.given(rows=conversations(), places=CUTS)
-def test_requests_cut_anywhere_are_each_answered_once_and_in_order(echo, rows, places):
-    said = echo.say(cut(b"".join(data for name, body, data in rows), places))
+def test_requests_split_anywhere_are_each_answered_once_and_in_order(echo, rows, places):
+    response = echo.exchange(split(b"".join(data for name, body, data in rows), places))
     assert echo.seen == [(name.decode(), body) for name, body, data in rows]
-    assert said.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
+    assert response.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
     at = 0
     for name, body, _data in rows:
-        at = said.index(b"\r\n\r\n%b=%b;" % (name, body), at) + 1
+        at = response.index(b"\r\n\r\n%b=%b;" % (name, body), at) + 1
 
 
-def test_a_request_cut_at_every_byte_is_the_same(echo):
+def test_a_request_split_at_any_byte_is_unchanged(echo):
     data = (
         b"POST /p HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n"
     )
     for at in range(1, len(data)):
-        said = echo.say([data[:at], data[at:]])
-        assert echo.seen == [("a", b"abc")] and said.endswith(b"a=abc;"), at
+        response = echo.exchange([data[:at], data[at:]])
+        assert echo.seen == [("a", b"abc")] and response.endswith(b"a=abc;"), at
 
 
-def test_a_request_that_ends_at_any_byte_before_its_last_reaches_nobody(echo):
+def test_a_truncated_request_never_reaches_the_app(echo):
     for body in (b"Content-Length: 3\r\n\r\nabc", b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX: y\r\n\r\n"):
         data = b"POST /p HTTP/1.1\r\nHost: h\r\nTry-Id: a\r\n" + body
         for at in range(len(data)):
-            said = echo.say([data[:at]])
-            assert echo.seen == [] and b" 200 " not in said, (at, said)
+            response = echo.exchange([data[:at]])
+            assert echo.seen == [] and b" 200 " not in response, (at, response)
 
 
 @BOUNDED
 @hypothesis.given(rows=conversations(), surplus=strategies.binary(min_size=1, max_size=60), places=CUTS)
-def test_surplus_bytes_after_whole_requests_change_none_of_them(echo, rows, surplus, places):
-    """What follows may itself be refused; it reaches the app only if it is a request, which no such bytes are."""
+def test_surplus_bytes_after_complete_requests_change_none_of_them(echo, rows, surplus, places):
+    """Surplus bytes may be rejected; they reach the app only if they are a request, which these never are."""
     hypothesis.assume(b"HTTP/1." not in surplus)
-    said = echo.say(cut(b"".join(data for name, body, data in rows) + surplus, places))
+    response = echo.exchange(split(b"".join(data for name, body, data in rows) + surplus, places))
     assert echo.seen == [(name.decode(), body) for name, body, data in rows]
-    assert said.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
+    assert response.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
 
 
 @BOUNDED
 @hypothesis.given(rows=conversations(), order=strategies.randoms(use_true_random=False))
-def test_doubled_and_reordered_requests_are_answered_as_often_as_they_came(echo, rows, order):
+def test_duplicate_and_reordered_requests_are_answered_as_often_as_they_were_sent(echo, rows, order):
     rows = rows + rows
     order.shuffle(rows)
-    said = echo.say([data for name, body, data in rows])
+    response = echo.exchange([data for name, body, data in rows])
     assert echo.seen == [(name.decode(), body) for name, body, data in rows]
-    assert said.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
+    assert response.count(b"HTTP/1.1 200 OK\r\n") == len(rows)
 
 
 @BOUNDED
@@ -147,8 +147,8 @@
     at=strategies.integers(0, 10000), byte=strategies.binary(min_size=1, max_size=2), rows=conversations()
 )
 def test_a_body_reaches_the_app_only_as_its_framing_says(echo, at, byte, rows):
-    """Some bytes replaced: never more requests than were sent, and none made of another's body."""
+    """Replaced bytes never yield more requests than were sent, nor a request from the body of another."""
     data = b"".join(data for name, body, data in rows)
     at %= len(data)
-    echo.say([data[:at] + byte + data[at + len(byte) :]])
+    echo.exchange([data[:at] + byte + data[at + len(byte) :]])
     assert len(echo.seen) <= len(rows)
--- a/tests/test_exchanges.py
+++ b/tests/test_exchanges.py
@@ -47,7 +47,7 @@
     return idle.exchange("POST", server.address, "/x", {}, b"body", 2.0, name=name)
 
 
-ONE, TWO = bare_http.whole(200, [], b"one"), bare_http.whole(200, [], b"two")
+ONE, TWO = bare_http.response_bytes(200, [], b"one"), bare_http.response_bytes(200, [], b"two")
 CHUNKED = bare_http.head(200, [("Transfer-Encoding", "chunked")])
 
 
@@ -75,7 +75,7 @@
 
     def take(conn, request, fault, normal_take=replica.take):
         request_id = request.get("Try-Id")
-        refusal = bare_http.whole(503, [("Try-Id", request_id), ("Not-Run", "1")])
+        refusal = bare_http.response_bytes(503, [("Try-Id", request_id), ("Not-Run", "1")])
         if not first_send:
             first_send.append((conn, request.conn))
             conn.sendall(refusal)
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Idle connections of callers: closed after the longest limit in force, never over a request."""
+"""Idle client connections are closed after the longest timeout in force, and never while a request arrives."""
 
 import selectors
 import socket
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """A clock that stands still until it is moved."""
+    """A clock that advances only when the test sets it."""
     found = types.SimpleNamespace(time=1000.0)
     monkeypatch.setattr(clock_module, "now", lambda: found.time)
     return found
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def manager():
-    """The server's idle connections, with nobody selecting among them."""
+    """The server's connection manager, without a thread that selects from it."""
     server = http_server.Server("127.0.0.1:0", lambda environ, start: [], 1)
     server.prepare()
     yield server._connections
@@ -46,7 +46,7 @@
         self.socket.close()
 
 
-def test_an_idle_connection_rests_for_the_whole_limit_and_a_margin(manager, clock):
+def test_an_idle_connection_is_closed_after_the_timeout_and_a_margin(manager, clock):
     conn = Conn(manager)
     clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + constants.IDLE_CLOSE_MARGIN_S - 0.01
     manager._expire(0)
@@ -56,22 +56,22 @@
     assert conn.closed and len(manager._selector) == 1  # the listening socket
 
 
-@pytest.mark.parametrize("rested", [0.0, 4.0, 11.0])
-def test_after_a_shorter_limit_the_longer_one_holds_for_its_span(manager, clock, rested):
+@pytest.mark.parametrize("idle_s", [0.0, 4.0, 11.0])
+def test_after_a_shorter_timeout_the_longer_one_stays_valid_for_its_duration(manager, clock, idle_s):
     manager.server.set_idle_limit(15.0)
-    clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + 0.01  # the first limit no longer counts
+    clock.time += constants.DEFAULT_IDLE_TIMEOUT_S + 0.01  # the first timeout is no longer valid
     conn = Conn(manager)
-    clock.time += rested
+    clock.time += idle_s
     manager.server.set_idle_limit(2.0)
-    clock.time += 0.8 * 15.0 - rested  # as long as a caller may let it rest that knows the old limit
+    clock.time += 0.8 * 15.0 - idle_s  # a client that knows the old timeout may still reuse it
     manager._expire(0)
     assert not conn.closed
-    clock.time += 0.2 * 15.0 + rested + constants.IDLE_CLOSE_MARGIN_S
+    clock.time += 0.2 * 15.0 + idle_s + constants.IDLE_CLOSE_MARGIN_S
     manager._expire(0)
     assert conn.closed
 
 
-def test_a_longer_limit_holds_at_once(manager, clock):
+def test_a_longer_timeout_applies_at_once(manager, clock):
     conn = Conn(manager)
     manager.server.set_idle_limit(60.0)
     clock.time += 0.8 * 60.0
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("data", [b"G", REQUEST], ids=["first byte", "whole request"])
-def test_a_request_that_has_come_wins_over_the_close(manager, clock, data):
+def test_a_connection_with_input_is_not_closed(manager, clock, data):
     conn = Conn(manager)
     conn.other.sendall(data)
     clock.time += 1000.0
@@ -88,7 +88,7 @@
     assert not conn.closed and len(manager._selector) == 2
 
 
-def test_a_step_of_the_wall_clock_closes_nothing(manager, clock, monkeypatch):
+def test_a_step_of_the_wall_clock_closes_no_connection(manager, clock, monkeypatch):
     conn = Conn(manager)
     step = time.time() + 5000.0
     monkeypatch.setattr(time, "time", lambda: step)
@@ -96,11 +96,11 @@
     assert not conn.closed
 
 
-class Gated:
-    """A served app whose answer waits for `go`, in two pieces; then connections expire at once."""
+class GatedApp:
+    """A served app that sends the second part of its response only after `go` is set."""
 
     def __init__(self):
-        self.go, self.begun = threading.Event(), threading.Event()
+        self.go, self.started = threading.Event(), threading.Event()
         self.server = http_server.Server("127.0.0.1:0", self.app, 4)
         self.server.expiration_interval = 0.01
         self.address = platform_site.serve(self.server)
@@ -108,7 +108,7 @@
     def app(self, environ, start):
         start("200 OK", [("Content-Type", "text/plain")])
         yield b"first,"
-        self.begun.set()
+        self.started.set()
         assert self.go.wait(10)
         yield b"last"
 
@@ -120,43 +120,43 @@
 @pytest.fixture
 def gated(monkeypatch):
     monkeypatch.setattr(constants, "IDLE_CLOSE_MARGIN_S", 0.0)
-    found = Gated()
+    found = GatedApp()
     yield found
     found.go.set()
     found.server.stop()
 
 
 def read_to_end(conn):
-    rows = []
+    pieces = []
     while piece := conn.recv(65536):
-        rows.append(piece)
-    return b"".join(rows)
+        pieces.append(piece)
+    return b"".join(pieces)
 
 
-def test_a_limit_that_passes_during_an_exchange_ends_only_the_rest_after_it(gated):
-    with gated.connect() as conn, gated.connect() as idle_one:
+def test_a_timeout_that_passes_during_an_exchange_closes_the_connection_only_after_it(gated):
+    with gated.connect() as conn, gated.connect() as idle_connection:
         conn.sendall(REQUEST)
-        assert gated.begun.wait(5)
+        assert gated.started.wait(5)
         gated.server.idle_limit = idle.IdleLimit(0.0)
-        assert idle_one.recv(1) == b""  # the expiry has run meanwhile
+        assert idle_connection.recv(1) == b""  # the expiry has run by now
         gated.go.set()
-        said = read_to_end(conn)
-    assert said.endswith(bare_http.chunk(b"first,") + bare_http.chunk(b"last") + b"0\r\n\r\n")
-    assert said.count(b"HTTP/1.1 200") == 1
+        response = read_to_end(conn)
+    assert response.endswith(bare_http.chunk(b"first,") + bare_http.chunk(b"last") + b"0\r\n\r\n")
+    assert response.count(b"HTTP/1.1 200") == 1
 
 
-def test_a_request_of_which_half_has_come_is_answered_after_the_limit_has_passed(gated):
+def test_a_partly_received_request_is_answered_after_the_timeout_has_passed(gated):
     gated.go.set()
-    with gated.connect() as conn, gated.connect() as idle_one:
+    with gated.connect() as conn, gated.connect() as idle_connection:
         conn.sendall(REQUEST[:9])
         platform_site.until(gated.server.has_active_exchange)
         gated.server.idle_limit = idle.IdleLimit(0.0)
-        assert idle_one.recv(1) == b""
+        assert idle_connection.recv(1) == b""
         conn.sendall(REQUEST[9:])
         assert read_to_end(conn).endswith(b"0\r\n\r\n")
 
 
-def test_a_stopping_server_knows_of_requests_that_have_not_come_whole(gated):
+def test_a_stopping_server_counts_partly_received_requests_as_active(gated):
     gated.go.set()
     with gated.connect() as conn:
         assert not gated.server.has_active_exchange()
--- a/tests/test_last_responses.py
+++ b/tests/test_last_responses.py
@@ -17,7 +17,7 @@
 
 
 def with_length(headers, pieces):
-    return bare_http.whole(200, headers, b"".join(pieces))
+    return bare_http.response_bytes(200, headers, b"".join(pieces))
 
 
 def in_chunks(headers, pieces):
@@ -55,7 +55,7 @@
 def test_a_finished_exchange_no_longer_changes_the_timeout_of_its_connection():
     """The connection may be in use by another exchange by then."""
     server = bare_http.Listener()
-    server.answer = lambda conn, request: conn.sendall(bare_http.whole(200, [], b"one")) or True
+    server.answer = lambda conn, request: conn.sendall(bare_http.response_bytes(200, [], b"one")) or True
     pool = connection_pool.ConnectionPool(lambda: 0.0)
     first = pool.exchange("GET", server.address, "/", {}, None, 5.0)
     assert first.all() == b"one"
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: the log buffer writes the journal's events too, once each; `mothshed logs` merges by time."""
+"""The log buffer writes each journal event once, and `mothshed logs` merges log files by time."""
 
 import json
 import subprocess
@@ -12,8 +12,8 @@
 
 
 @pytest.fixture
-def ringed(tmp_path, monkeypatch):
-    """(path of the log buffer's file, a journal that it holds, its clock)."""
+def buffered(tmp_path, monkeypatch):
+    """Return (path of the log file, a journal attached to the log buffer, its clock)."""
     clock = [100.0]
     journal = journal_module.Journal(lambda: clock[0])
     monkeypatch.setattr(
@@ -34,13 +34,13 @@
 
 
 def rows(path):
-    """Events as they were written, without the message that sets them in."""
+    """Return the written events, without the message that carries their time."""
     found = [json.loads(text) for text in path.read_text().splitlines()]
     return [row for row in found if row["message_type"] != "journal_written"]
 
 
-def test_events_and_messages_are_written_and_read_in_order_of_time(ringed):
-    path, journal, clock = ringed
+def test_events_and_messages_are_written_and_read_in_order_of_time(buffered):
+    path, journal, clock = buffered
     journal.add("send_failed", replica="r1", request="a1")
     clock[0] = 102.0
     journal.add("free", outcome="done")
@@ -53,14 +53,14 @@
         {"message_type": "send_failed", "at": 100.0, "replica": "r1", "request": "a1", "process": "route-1"},
         {"message_type": "free", "at": 102.0, "outcome": "done", "process": "route-1"},
     ]
-    found, over = logs.read([path])
+    found, skipped = logs.read([path])
     assert [(row["timestamp"], row["message_type"]) for row in found] == [
         (5100.0, "send_failed"),
         (5101.0, "disk_fault"),
         (5102.0, "free"),
         (5103.0, "journal_written"),
     ]
-    assert over == 0 and found[0] == {
+    assert skipped == 0 and found[0] == {
         "timestamp": 5100.0,
         "message_type": "send_failed",
         "replica": "r1",
@@ -69,11 +69,11 @@
     }
 
 
-def test_after_a_restart_of_the_machine_moments_count_anew(ringed):
-    path, journal, clock = ringed
+def test_event_times_start_anew_after_a_restart_of_the_machine(buffered):
+    path, journal, clock = buffered
     journal.add("free", number=0)
     log_buffer.write()
-    clock[0] = 7.0  # the clock since boot begins again; the test's wall time goes with it
+    clock[0] = 7.0  # the boot clock restarts; the test's wall clock follows it
     journal.add("free", number=1)
     log_buffer.write()
     assert [(row["timestamp"], row["number"]) for row in logs.read([path])[0] if "number" in row] == [
@@ -82,19 +82,19 @@
     ]
 
 
-def test_an_event_that_nothing_sets_in_is_passed_over(tmp_path):
+def test_an_event_without_a_known_time_is_skipped(tmp_path):
     path = tmp_path / "ring"
     path.write_text(
         '{"message_type": "free", "at": 3.0, "process": "route-1"}\n'
         '{"message_type": "journal_written", "timestamp": 9.0, "at": 4.0, "process": "route-2"}\n'
         '{"message_type": "free", "at": 3.0, "process": "route-1"}\n'
     )
-    found, over = logs.read([path])
-    assert [row["message_type"] for row in found] == ["journal_written"] and over == 2
+    found, skipped = logs.read([path])
+    assert [row["message_type"] for row in found] == ["journal_written"] and skipped == 2
 
 
-def test_an_event_is_written_once(ringed):
-    path, journal, clock = ringed
+def test_an_event_is_written_once(buffered):
+    path, journal, clock = buffered
     for number in range(3):
         journal.add("free", number=number)
         log_buffer.write()
@@ -102,8 +102,8 @@
     assert [row["number"] for row in rows(path)] == [0, 1, 2]
 
 
-def test_a_full_journal_gives_its_latest_and_gives_them_once(ringed):
-    path, journal, clock = ringed
+def test_a_full_journal_returns_its_latest_events_once(buffered):
+    path, journal, clock = buffered
     journal.add("free", number=-1)
     log_buffer.write()
     for number in range(journal.events.maxlen + 10):
@@ -150,13 +150,13 @@
     ]
 
 
-def test_one_request_alone(files):
+def test_the_log_of_one_request(files):
     done = run(*files, "--request", "b2")
     assert done.stdout.splitlines() == ["1970-01-01T00:00:02.000Z keep-1 order request=b2"]
     assert run(*files, "--request", "b").stdout == ""
 
 
-def test_what_is_no_log_line_is_passed_over_and_counted(files, tmp_path):
+def test_invalid_log_lines_are_skipped_and_counted(files, tmp_path):
     torn = tmp_path / "torn"
     torn.write_bytes(
         b'Traceback (most recent call last):\n\n[1]\n{"timestamp": 4.0}\n\xff\xfe\n'
--- a/tests/test_platform_raw.py
+++ b/tests/test_platform_raw.py
@@ -1,4 +1,4 @@
-"""Requests with a doubtful framing, byte for byte: nothing is smuggled in, and none is run changed."""
+"""Requests with ambiguous framing, byte for byte: none is smuggled in, and none runs in changed form."""
 
 import socket
 
@@ -18,13 +18,13 @@
     found.stop()
 
 
-def say(site, data, span=0.4):
-    """All that comes back until the end or a silence."""
+def exchange(site, data, timeout_s=0.4):
+    """Send bytes and return all bytes received until the end or a silence of `timeout_s` seconds."""
     host, port = site.address.rsplit(":", 1)
     rows = []
     with socket.create_connection((host, int(port)), 2) as conn:
         conn.sendall(data)
-        conn.settimeout(span)
+        conn.settimeout(timeout_s)
         try:
             while piece := conn.recv(65536):
                 rows.append(piece)
@@ -39,26 +39,26 @@
     "two lengths, short first": lambda n: [b"Content-Length: 5", b"Content-Length: %d" % (5 + n)],
     "two lengths, long first": lambda n: [b"Content-Length: %d" % (5 + n), b"Content-Length: 5"],
     "two lengths in one": lambda n: [b"Content-Length: 5, %d" % (5 + n)],
-    "a coding that nobody knows": lambda n: [b"Transfer-Encoding: xchunked", b"Content-Length: 5"],
+    "an unknown coding": lambda n: [b"Transfer-Encoding: xchunked", b"Content-Length: 5"],
     "a coding with a tab": lambda n: [b"Transfer-Encoding:\tchunked", b"Content-Length: %d" % (5 + n)],
     "a coding with a space before the colon": lambda n: [
         b"Transfer-Encoding : chunked",
         b"Content-Length: %d" % (5 + n),
     ],
-    "a coding in other letters": lambda n: [b"transfer-ENCODING: CHUNKED", b"Content-Length: %d" % (5 + n)],
+    "a coding in mixed case": lambda n: [b"transfer-ENCODING: CHUNKED", b"Content-Length: %d" % (5 + n)],
     "two codings": lambda n: [
         b"Transfer-Encoding: chunked",
         b"Transfer-Encoding: identity",
         b"Content-Length: %d" % (5 + n),
     ],
     "a length with a sign": lambda n: [b"Content-Length: +5"],
-    "a length below 0": lambda n: [b"Content-Length: -5"],
-    "a length in other digits": lambda n: ["Content-Length: \u0665".encode()],
+    "a negative length": lambda n: [b"Content-Length: -5"],
+    "a length in non-ASCII digits": lambda n: ["Content-Length: \u0665".encode()],
 }
 
 
 @pytest.mark.parametrize("name", FRAMINGS)
-def test_nothing_is_smuggled_inside_another_request(site, name):
+def test_no_request_is_smuggled_inside_another(site, name):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     mark = str(list(FRAMINGS).index(name))
     inner = INNER % (host.encode(), mark.encode())
@@ -68,9 +68,9 @@
         b"Try-Id: outer-" + mark.encode(),
         *FRAMINGS[name](len(inner)),
     ]
-    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n" + b"0\r\n\r\n" + inner)
+    response = exchange(site, b"\r\n".join(rows) + b"\r\n\r\n" + b"0\r\n\r\n" + inner)
     assert site.platform.ran("smuggled-" + mark) == []
-    assert len(replica.asked) <= 1 and said.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
+    assert len(replica.asked) <= 1 and response.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
 
 
 @pytest.mark.parametrize(
@@ -88,7 +88,7 @@
     ],
     ids=repr,
 )
-def test_a_request_that_is_not_whole_is_sent_nowhere(site, data):
+def test_an_incomplete_request_is_sent_to_no_replica(site, data):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     address, port = site.address.rsplit(":", 1)
     with socket.create_connection((address, int(port)), 2) as conn:
@@ -96,35 +96,35 @@
         conn.shutdown(socket.SHUT_WR)
         conn.settimeout(1.0)
         try:
-            said = conn.recv(65536)
+            response = conn.recv(65536)
         except (TimeoutError, ConnectionResetError):
-            said = b""
-    assert [(r.method, r.target, r.body) for r in replica.asked] == [] and b" 200 " not in said[:20]
+            response = b""
+    assert [(r.method, r.target, r.body) for r in replica.asked] == [] and b" 200 " not in response[:20]
 
 
-def test_a_body_that_stalls_until_its_time_is_over_is_sent_nowhere(site, monkeypatch):
+def test_a_body_that_stalls_past_its_timeout_is_sent_to_no_replica(site, monkeypatch):
     monkeypatch.setattr(constants, "REQUEST_READ_TIMEOUT_S", 0.3)
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
-    said = say(
+    response = exchange(
         site, b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Length: 9\r\n\r\nabc" % host.encode(), 1.5
     )
     platform_site.until(lambda: site.router.in_flight == 0)
-    assert [r.body for r in replica.asked] == [] and b" 200 " not in said[:20]
+    assert [r.body for r in replica.asked] == [] and b" 200 " not in response[:20]
 
 
-def test_requests_that_follow_one_another_on_a_connection_are_answered_in_order(site):
+def test_pipelined_requests_are_answered_in_order(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     rows = [
         b"POST /p/%d HTTP/1.1\r\nHost: %b\r\nTry-Id: row-%d\r\nContent-Length: 3\r\n\r\nab%d" % (n, host.encode(), n, n)
         for n in range(4)
     ]
-    said = say(site, b"".join(rows))
-    assert [said.count(b"Try-Id: row-%d" % n) for n in range(4)] == [1] * 4
-    assert [said.index(b"row-%d" % n) for n in range(4)] == sorted(said.index(b"row-%d" % n) for n in range(4))
+    response = exchange(site, b"".join(rows))
+    assert [response.count(b"Try-Id: row-%d" % n) for n in range(4)] == [1] * 4
+    assert [response.index(b"row-%d" % n) for n in range(4)] == sorted(response.index(b"row-%d" % n) for n in range(4))
     assert [(r.target, r.body) for r in replica.asked] == [(f"/p/{n}", b"ab%d" % n) for n in range(4)]
 
 
-def test_a_header_whose_name_has_an_underscore_never_stands_for_one_with_a_dash(site):
+def test_a_header_name_with_an_underscore_is_not_taken_for_one_with_a_dash(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     own, answer = site.ask(host, headers=[("Try_Id", "other"), ("Time_Left", "900")], prompt=False)
     assert answer.status == 200 and [r.get("Try-Id") for r in replica.asked] == [own]
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("name, value", [("Last-Event-Id", "²"), ("Prompt-Prefix", "a:²"), ("Tokens", "²,²")])
-def test_a_number_in_other_digits_is_passed_on_as_it_came(site, name, value):
+def test_a_number_in_non_ascii_digits_is_forwarded_unchanged(site, name, value):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     replica.run = answer_done
     _own, answer = site.ask(host, headers=[(name, value)], prompt=False)
@@ -140,13 +140,14 @@
 
 
 def answer_done(conn, request, fault, more):
-    conn.sendall(bare_http.whole(200, [*more, ("Postmark", "stamp.own")], b"done"))
+    conn.sendall(bare_http.response_bytes(200, [*more, ("Postmark", "stamp.own")], b"done"))
     return True
 
 
 @pytest.mark.parametrize("odd", [b"X-Odd: 1\r Leg: prefill", b"X-Odd: 1\rLeg: prefill", b"X-Odd: a\0b"], ids=repr)
-def test_a_head_with_a_carriage_return_or_a_zero_byte_within_a_line_is_refused(site, odd):
+def test_a_header_with_a_carriage_return_or_a_zero_byte_within_a_line_is_rejected(site, odd):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     rows = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: odd", odd, b"Content-Length: 0"]
-    said = say(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0)  # it ends the connection
-    assert said.startswith(b"HTTP/1.1 400 ") and replica.asked == []
+    # the server closes the connection
+    response = exchange(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0)
+    assert response.startswith(b"HTTP/1.1 400 ") and replica.asked == []
--- a/tests/test_reply_properties.py
+++ b/tests/test_reply_properties.py
@@ -1,6 +1,6 @@
-"""The reader of replicas' answers under generated input.
+"""Property tests of reading replica responses.
 
-What it gives out is a whole answer that was sent in this exchange, or it is a fault.
+The result is a complete response that was sent in this exchange, or an error.
 """
 
 import itertools
@@ -20,7 +20,7 @@
 
 
 class Script(bare_http.Listener):
-    """Sends the pieces of the next reply one by one; ends the connection after it where told."""
+    """Sends the pieces of the next response one by one; then closes the connection if `end` is set."""
 
     def __init__(self):
         self.pieces, self.end = [], False
@@ -41,11 +41,11 @@
     found.stop()
 
 
-def exchange(script, idle, pieces, end=False):
-    """The body of a whole answer, or None for a fault."""
+def exchange(script, pool, pieces, end=False):
+    """Return the name and body of a complete response, or None after an error."""
     script.pieces, script.end = pieces, end
     try:
-        reply = idle.exchange("POST", script.address, "/x", {}, b"b", 2.0)
+        reply = pool.exchange("POST", script.address, "/x", {}, b"b", 2.0)
         return reply.headers.get("try-id"), reply.all()
     except http_client.ExchangeError as e:
         assert e.sent
@@ -53,10 +53,10 @@
 
 
 def framed(name, body, sizes):
-    """One proper answer; sizes: of its chunks, or None for a length."""
+    """Build one valid response. sizes: of its chunks, or None for a Content-Length."""
     rows = [("Try-Id", name)]
     if sizes is None:
-        return bare_http.whole(200, rows, body)
+        return bare_http.response_bytes(200, rows, body)
     data, at = b"", 0
     for size in sizes:
         if at < len(body):
@@ -72,49 +72,49 @@
 CUTS = strategies.lists(strategies.integers(0, 10000), max_size=5)
 
 
-def cut(data, places):
+def split(data, places):
     at = sorted({p % (len(data) + 1) for p in places} | {0, len(data)})
     return [data[a:b] for a, b in itertools.pairwise(at)]
 
 
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, places=CUTS)
-def test_an_answer_cut_anywhere_is_read_whole_and_its_connection_kept(script, body, sizes, places):
-    idle = connection_pool.ConnectionPool(lambda: 0.0)
+def test_a_response_split_anywhere_is_read_completely_and_its_connection_reused(script, body, sizes, places):
+    pool = connection_pool.ConnectionPool(lambda: 0.0)
     for name in ("a", "b"):
-        assert exchange(script, idle, cut(framed(name, body, sizes), places)) == (name, body)
-    assert (idle.opened_count, idle.reused_count) == (1, 1)
+        assert exchange(script, pool, split(framed(name, body, sizes), places)) == (name, body)
+    assert (pool.opened_count, pool.reused_count) == (1, 1)
 
 
 @BOUNDED
 @hypothesis.given(body=BODIES.filter(bool), sizes=SIZES, at=strategies.integers(0, 10000))
-def test_an_answer_that_ends_before_its_body_is_whole_is_a_fault(script, body, sizes, at):
+def test_a_truncated_response_is_an_error(script, body, sizes, at):
     data = framed("a", body, sizes)
-    at %= len(data)  # without its last byte at least
+    at %= len(data)  # at least the last byte is missing
     assert exchange(script, connection_pool.ConnectionPool(lambda: 0.0), [data[:at]], end=True) is None
 
 
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, surplus=strategies.binary(min_size=1, max_size=40), places=CUTS)
-def test_surplus_bytes_are_never_part_of_an_answer_nor_of_the_next(script, body, sizes, surplus, places):
-    idle = connection_pool.ConnectionPool(lambda: 0.0)
+def test_surplus_bytes_are_part_of_neither_this_response_nor_the_next(script, body, sizes, surplus, places):
+    pool = connection_pool.ConnectionPool(lambda: 0.0)
     data = framed("a", body, sizes)
-    assert exchange(script, idle, [*cut(data, places)[:-1], cut(data, places)[-1] + surplus]) == ("a", body)
-    assert exchange(script, idle, [framed("b", b"next", None)]) in (("b", b"next"), None)
+    assert exchange(script, pool, [*split(data, places)[:-1], split(data, places)[-1] + surplus]) == ("a", body)
+    assert exchange(script, pool, [framed("b", b"next", None)]) in (("b", b"next"), None)
 
 
 @BOUNDED
 @hypothesis.given(body=BODIES, sizes=SIZES, times=strategies.integers(2, 4))
-def test_doubled_answers_end_their_connection(script, body, sizes, times):
-    idle = connection_pool.ConnectionPool(lambda: 0.0)
-    assert exchange(script, idle, [framed("a", body, sizes) * times]) == ("a", body)
-    assert exchange(script, idle, [framed("b", b"next", None)]) == ("b", b"next")
-    assert (idle.opened_count, idle.reused_count) == (2, 0)
+def test_duplicate_responses_close_their_connection(script, body, sizes, times):
+    pool = connection_pool.ConnectionPool(lambda: 0.0)
+    assert exchange(script, pool, [framed("a", body, sizes) * times]) == ("a", body)
+    assert exchange(script, pool, [framed("b", b"next", None)]) == ("b", b"next")
+    assert (pool.opened_count, pool.reused_count) == (2, 0)
 
 
 @BOUNDED
 @hypothesis.given(data=strategies.binary(max_size=200))
-def test_bytes_that_are_no_answer_are_a_fault(script, data):
+def test_bytes_that_are_no_response_are_an_error(script, data):
     hypothesis.assume(not data.startswith(b"HTTP/"))
     assert exchange(script, connection_pool.ConnectionPool(lambda: 0.0), [data] if data else [], end=True) is None
 
@@ -125,10 +125,8 @@
     at=strategies.integers(0, 10000),
     byte=strategies.binary(min_size=1, max_size=1),
 )
-def test_a_spoilt_byte_in_the_framing_of_chunks_never_gives_a_longer_or_shorter_body_of_that_head(
-    script, body, at, byte
-):
-    """Only a byte within a chunk's data may change what is read, and then just there."""
+def test_a_corrupt_byte_in_the_chunk_framing_never_changes_the_length_of_the_body(script, body, at, byte):
+    """A corrupt byte may change the body only at its own position within the data of a chunk."""
     data = framed("a", body, [3])
     begin = data.index(b"\r\n\r\n") + 4
     at = begin + at % (len(data) - begin)
