--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -77,13 +77,13 @@
 def test_who_hangs_up_within_the_answer_ends_the_decode(fleet, stream):
     router, name = fleet.settings["route-1"]["http"], f"left-{stream}"
     line = lines(router, 1, ask(name, 400, stream))[0]
-    for at in fleet.replica_at.values():  # until one of them writes
+    for at in fleet.replica_addresses.values():  # until one of them writes
         with contextlib.suppress(TimeoutError):
             fleet.wait_http(at, "/condition", lambda c: c["role"] == "decode" and c["running"], 3)
             break
     line.close()
     fleet.wait_http(router, "/condition", lambda c: c["flight"] == 0 and c["frees_left"] == 0)
-    for at in fleet.replica_at.values():
+    for at in fleet.replica_addresses.values():
         fleet.wait_http(at, "/condition", lambda c: c["running"] == 0)
     kinds = [r["kind"] for r in ledger_of(fleet, name)]
     assert "pull" in kinds and "decoded" not in kinds and kinds.count("export") == kinds.count("free")
--- a/tests/test_runbooks.py
+++ b/tests/test_runbooks.py
@@ -78,11 +78,11 @@
 
     def new_keeper(self, name):
         seeds = self.fleet.settings["keep-1"]["seeds"]
-        self.fleet.add_keeper(name, self.fleet.spot(40), "mx-a", seeds)
+        self.fleet.add_keeper(name, self.fleet.free_address(40), "mx-a", seeds)
 
     def stop(self, name):
         self.fleet.signal(name, signal.SIGTERM)
-        assert self.fleet.procs[name].wait(30) == 0
+        assert self.fleet.processes[name].wait(30) == 0
 
     def wipe(self, name):
         self.fleet.kill(name)
@@ -121,7 +121,7 @@
         go("replace-replica", old="replica-3", new="replica-9")
         with pytest.raises(runbook.StepFailed, match="replica-3"):
             go("replace-replica", old="replica-3", new="replica-10")
-        assert "replica-10" not in fleet.procs  # stopped before the first step
+        assert "replica-10" not in fleet.processes  # stopped before the first step
         go("drain-router", address=routers[1])
         go("recover-disk-machine", name="keep-2")
         go("swap-keeper", old=fleet.leader(), new="keep-4")
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -27,5 +27,5 @@
             call = {**call, "id": call["id"] + "x"}
         assert late["end"] == "refused" or (late["status"], late["verdict"], late["retry"]) == (503, "not_run", "1")
         thread.join(30)
-        assert fleet.procs["route-1"].wait(30) == 0
+        assert fleet.processes["route-1"].wait(30) == 0
         assert [(r["end"], len(r["text"].split())) for r in rows] == [("whole", 150)]
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,8 +1,8 @@
-"""A whole fleet on one machine: processes, their places, and ways to hurt them.
+"""Runs a whole fleet as processes on one machine and injects faults into it.
 
-Each machine of a deployment is a loopback address of its own; every machine runs
-a router, those with disks also a keeper. The replicas, the list and the callers
-are stand-ins. Only processes started here are ever signalled, by their id.
+Each machine of a deployment has a loopback address of its own. Every machine runs
+a router; machines with disks also run a keeper. The replicas, the platform list and
+the callers are stand-ins. Only processes started here are signalled, by their id.
 """
 
 import json
@@ -23,19 +23,19 @@
 
 
 def free_port(host):
-    with socket.socket() as s:
-        s.bind((host, 0))
-        return s.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind((host, 0))
+        return probe.getsockname()[1]
 
 
 def document(deployment, **changes):
-    d = deployments.DEPLOYMENTS[deployment]
+    plan = deployments.DEPLOYMENTS[deployment]
     return {
-        "model": d["model"],
+        "model": plan["model"],
         "kinds": configuration.EXAMPLE["kinds"],
-        "tenants": {t: {"share": 1} for t in d["tenants"]},
+        "tenants": {tenant: {"share": 1} for tenant in plan["tenants"]},
         "pools": {
-            "main": {"selector": {"app": d["model"]}, "least_prefill": 1, "least_decode": 1},
+            "main": {"selector": {"app": plan["model"]}, "least_prefill": 1, "least_decode": 1},
             deployments.PLAIN_SERVICE: deployments.PLAIN_POOL,
         },
         "pairings": [{"pool": "main", "policy": "prefix_affinity"}],
@@ -51,40 +51,40 @@
         self.deployment = deployment
         self.plan["machines"] = machines or self.plan["machines"]
         self.plan["replicas"] = replicas or self.plan["replicas"]
-        self.procs, self.commands, self.settings = {}, {}, {}
-        self.replica_at, self.lag = {}, lag
+        self.processes, self.commands, self.settings = {}, {}, {}
+        self.replica_addresses, self.lag = {}, lag
         self.relays = relay.Relays() if relays else None
         self.pool = urllib3.PoolManager(retries=False)
 
     def host(self, number):
         return f"127.{20 + os.getpid() % 200}.{os.getpid() // 200 % 250}.{number + 1}"
 
-    def spot(self, number):
+    def free_address(self, number):
         host = self.host(number)
         return f"{host}:{free_port(host)}"
 
     def start(self):
-        self.list_at = self.spot(0)
-        self.launch("list", ["tools.stand_in_list", "--address", self.list_at, "--lag", str(self.lag)])
-        self.wait_http(self.list_at, "/replicas")
-        for at in range(self.plan["replicas"]):
-            self.add_replica(f"replica-{at + 1}", at)
+        self.list_address = self.free_address(0)
+        self.launch("list", ["tools.stand_in_list", "--address", self.list_address, "--lag", str(self.lag)])
+        self.wait_http(self.list_address, "/replicas")
+        for number in range(self.plan["replicas"]):
+            self.add_replica(f"replica-{number + 1}", number)
         self.add_replica(deployments.PLAIN_REPLICA, self.plan["replicas"], deployments.PLAIN_SERVICE, plain=True)
         zones, disks = self.plan["zones"], self.plan["disks"]
-        seeds = [self.spot(10 + at) for at in range(disks)]
-        for at in range(disks):
-            self.add_keeper(f"keep-{at + 1}", seeds[at], zones[at % len(zones)], seeds)
-        for at in range(self.plan["machines"]):
-            self.add_router(f"route-{at + 1}", 10 + at, zones[at % len(zones)], seeds)
+        seeds = [self.free_address(10 + number) for number in range(disks)]
+        for number in range(disks):
+            self.add_keeper(f"keep-{number + 1}", seeds[number], zones[number % len(zones)], seeds)
+        for number in range(self.plan["machines"]):
+            self.add_router(f"route-{number + 1}", 10 + number, zones[number % len(zones)], seeds)
 
     def launch(self, name, command):
         self.commands[name] = command
-        out = open(self.folder / f"{name}.out", "a")
+        output = open(self.folder / f"{name}.out", "a")
         env = {**os.environ, "PYTHONUNBUFFERED": "1"}
-        self.procs[name] = subprocess.Popen(
+        self.processes[name] = subprocess.Popen(
             [sys.executable, "-m", *command],
-            stdout=out,
-            stderr=out,
+            stdout=output,
+            stderr=output,
             env=env,
             stdin=subprocess.DEVNULL,
             cwd=pathlib.Path(__file__).parent.parent,
@@ -94,15 +94,15 @@
         self.launch(name, self.commands[name])
 
     def add_replica(self, name, number, service=None, plain=False):
-        at = self.spot(100 + number)
-        self.replica_at[name] = at
+        address = self.free_address(100 + number)
+        self.replica_addresses[name] = address
         ledger = str(self.folder / f"{name}.ledger")
-        self.launch(name, ["tools.stand_in_replica", "--name", name, "--address", at, "--ledger", ledger])
+        self.launch(name, ["tools.stand_in_replica", "--name", name, "--address", address, "--ledger", ledger])
         zones = self.plan["zones"]
         self.set_listed(
             {
                 "name": name,
-                "address": at,
+                "address": address,
                 "zone": zones[number % len(zones)],
                 "service": service or self.plan["model"],
                 "labels": {"app": service if plain else self.plan["model"]},
@@ -111,109 +111,113 @@
         )
 
     def set_listed(self, item):
-        self.pool.request("POST", f"http://{self.list_at}/set", json=item)
+        self.pool.request("POST", f"http://{self.list_address}/set", json=item)
 
-    def add_daemon(self, program, name, address, cell, seeds, **more):
+    def add_daemon(self, program, name, address, zone, seeds, **extra):
         host = address.rsplit(":", 1)[0]
         if self.relays:
-            more = {**more, "listen": f"{host}:{free_port(host)}"}
-            self.relays.add(name, address, more["listen"])
+            extra = {**extra, "listen": f"{host}:{free_port(host)}"}
+            self.relays.add(name, address, extra["listen"])
         settings = {
             "name": name,
             "address": address,
             "http": f"{host}:{free_port(host)}",
-            "cell": cell,
+            "cell": zone,
             "seeds": seeds,
-            "list_url": f"http://{self.list_at}/replicas",
+            "list_url": f"http://{self.list_address}/replicas",
             "ring": str(self.folder / f"{name}.ring"),
             "first_keepers": seeds,
-            **more,
+            **extra,
         }
         self.settings[name] = settings
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings))
         self.launch(name, [program, "--settings", str(path)])
 
-    def add_keeper(self, name, address, cell, seeds, **more):
+    def add_keeper(self, name, address, zone, seeds, **extra):
         self.add_daemon(
             "tools.keep_on_bad_disk" if self.relays else "mothshed.programs.keep",
             name,
             address,
-            cell,
+            zone,
             seeds,
             data=str(self.folder / f"{name}.data"),
-            **more,
+            **extra,
         )
 
-    def add_router(self, name, number, cell, seeds):
-        self.add_daemon("mothshed.programs.route", name, self.spot(number), cell, seeds)
+    def add_router(self, name, number, zone, seeds):
+        self.add_daemon("mothshed.programs.route", name, self.free_address(number), zone, seeds)
 
     def keepers(self):
-        return [s["http"] for n, s in self.settings.items() if n.startswith("keep")]
+        return [settings["http"] for name, settings in self.settings.items() if name.startswith("keep")]
 
     def routers(self):
-        """Map each zone to its routers' HTTP addresses, as the platform hands them out."""
-        found = {}
-        for name, s in self.settings.items():
+        """Map each zone to its routers' HTTP addresses, as the platform distributes them."""
+        routers_by_zone = {}
+        for name, settings in self.settings.items():
             if name.startswith("route"):
-                found.setdefault(s["cell"], []).append(s["http"])
-        return found
+                routers_by_zone.setdefault(settings["cell"], []).append(settings["http"])
+        return routers_by_zone
 
-    def wait_http(self, address, path, good=lambda said: True, most=20.0):
-        until = time.monotonic() + most
-        while time.monotonic() < until:
+    def wait_http(self, address, path, is_ready=lambda response: True, timeout=20.0):
+        deadline = time.monotonic() + timeout
+        while time.monotonic() < deadline:
             try:
                 response = self.pool.request("GET", f"http://{address}{path}", timeout=1.0)
-                if response.status == 200 and good(response.json()):
+                if response.status == 200 and is_ready(response.json()):
                     return response.json()
             except (urllib3.exceptions.HTTPError, OSError, ValueError):
                 pass
             time.sleep(0.05)
         raise TimeoutError(f"{address}{path} did not become ready")
 
-    def wait_serving(self, most=30.0):
-        """Until every router serves and sees both roles among the replicas."""
-        began = time.monotonic()
-        for name, s in self.settings.items():
+    def wait_serving(self, timeout=30.0):
+        """Wait until every router serves and both replica roles are assigned; return the seconds it took."""
+        started = time.monotonic()
+        for name, settings in self.settings.items():
             if name.startswith("route"):
-                self.wait_http(s["http"], "/condition", lambda c: len(c["replicas"]) >= 2, most)
-        for at in (at for name, at in self.replica_at.items() if name != deployments.PLAIN_REPLICA):
-            self.wait_http(at, "/condition", lambda c: c["role"] != "none", most)
-        return time.monotonic() - began
-
-    def apply(self, base, body, mark):
-        return ask.apply(self.keepers(), base, body, "fleet", mark)
+                self.wait_http(
+                    settings["http"], "/condition", lambda condition: len(condition["replicas"]) >= 2, timeout
+                )
+        for address in (
+            address for name, address in self.replica_addresses.items() if name != deployments.PLAIN_REPLICA
+        ):
+            self.wait_http(address, "/condition", lambda condition: condition["role"] != "none", timeout)
+        return time.monotonic() - started
+
+    def apply(self, base, body, request_id):
+        return ask.apply(self.keepers(), base, body, "fleet", request_id)
 
     def config(self, path="/configuration"):
         return ask.any_of(self.keepers(), "GET", path)[1]
 
     def leader(self, part=0):
-        """The name of the keeper that leads a part, as its members say."""
-        for name, s in self.settings.items():
-            if name.startswith("keep") and self.procs[name].poll() is None:
+        """Return the name of the keeper that leads a part, as its members report it."""
+        for name, settings in self.settings.items():
+            if name.startswith("keep") and self.processes[name].poll() is None:
                 try:
-                    said = self.pool.request("GET", f"http://{s['http']}/condition", timeout=1.0).json()
+                    condition = self.pool.request("GET", f"http://{settings['http']}/condition", timeout=1.0).json()
                 except (urllib3.exceptions.HTTPError, OSError, ValueError):
                     continue
-                who = said["parts"][part]["leader"]
-                if who:
-                    return who.split("/")[0]
+                leader_id = condition["parts"][part]["leader"]
+                if leader_id:
+                    return leader_id.split("/")[0]
         return None
 
-    def fault(self, replica, **body):
+    def set_replica_fault(self, replica, **body):
         try:
-            self.pool.request("POST", f"http://{self.replica_at[replica]}/fault", json=body, timeout=2.0)
+            self.pool.request("POST", f"http://{self.replica_addresses[replica]}/fault", json=body, timeout=2.0)
         except (urllib3.exceptions.HTTPError, OSError):
-            pass  # a crash answers nothing
+            pass  # a crashing replica sends no response
 
-    def signal(self, name, number):
-        proc = self.procs[name]
-        if proc.poll() is None:
-            proc.send_signal(number)
+    def signal(self, name, signal_number):
+        process = self.processes[name]
+        if process.poll() is None:
+            process.send_signal(signal_number)
 
     def kill(self, name):
         self.signal(name, signal.SIGKILL)
-        self.procs[name].wait(10)
+        self.processes[name].wait(10)
 
     def ledger(self):
         rows = []
@@ -222,22 +226,22 @@
                 try:
                     rows.append(json.loads(line))
                 except ValueError:
-                    pass  # the last line of a killed stand-in
-        return sorted(rows, key=lambda r: r["at"])
+                    pass  # the last line may be cut short when the process is killed
+        return sorted(rows, key=lambda row: row["at"])
 
     def shown_leaving(self):
-        return self.pool.request("GET", f"http://{self.list_at}/shown").json()["leaving"]
+        return self.pool.request("GET", f"http://{self.list_address}/shown").json()["leaving"]
 
-    def disk(self, name, **faults):
-        """Makes a keeper's disk do so from now on; nothing given: a plain disk again."""
+    def set_disk_faults(self, name, **faults):
+        """Set the faults of a keeper's disk from now on; without arguments the disk works normally again."""
         pathlib.Path(self.settings[name]["data"] + ".faults").write_text(json.dumps(faults))
 
     def stop(self):
         if self.relays:
             self.relays.stop()
-        for proc in self.procs.values():
-            if proc.poll() is None:
-                proc.send_signal(signal.SIGCONT)
-                proc.kill()
-        for proc in self.procs.values():
-            proc.wait(10)
+        for process in self.processes.values():
+            if process.poll() is None:
+                process.send_signal(signal.SIGCONT)
+                process.kill()
+        for process in self.processes.values():
+            process.wait(10)
--- a/tools/fleet_faults.py
+++ b/tools/fleet_faults.py
@@ -1,9 +1,9 @@
-"""What a real fleet can be made to suffer, by name.
+"""Injects faults into a fleet of real processes, by name and time.
 
-Faults are given as "seconds:name" pairs, counted from the start of the load; NAMES
-says which there are. What was killed comes back two seconds later, as the platform
-would bring it; what was cut or hurt (by way of a relay, and of keepers on a bad disk)
-heals after four.
+Faults are given as "seconds:name" pairs, counted from the start of the load; FAULT_NAMES
+lists the names. A killed process is restarted after two seconds, as the platform would
+do. Network cuts (made by relays) and disk faults (of keepers that run on a faulty disk)
+end after four seconds.
 """
 
 import shutil
@@ -13,13 +13,13 @@
 import mothshed.runtime.clock as clock
 import tools.fleet as fleet_module
 
-BACK = 2.0  # s until something killed is started again
-HEAL = 4.0  # s until what was cut or hurt heals
-SLOW = 0.05  # s; delay of slow links and disks
-FREEZE = 2.5  # s a frozen process stays so
+RESTART_DELAY_S = 2.0  # until a killed process is started again
+HEAL_DELAY_S = 4.0  # until a network or disk fault ends
+ADDED_DELAY_S = 0.05  # delay of slow links and disks
+FREEZE_DURATION_S = 2.5  # how long a process stays stopped
 
 
-NAMES = (
+FAULT_NAMES = (
     "kill_router",
     "term_router",
     "kill_owner",
@@ -41,21 +41,23 @@
     "disk_full",
     "disk_sync_fails",
 )
-BY_RELAY = NAMES[11:]  # these need the relay and the bad disks
+RELAY_FAULTS = FAULT_NAMES[11:]  # these need relays and faulty disks
 
 
 def parse(text):
-    """[(seconds, name)] of "seconds:name,..."; ValueError naming what is wrong and what there is."""
-    rows, bad = [], []
+    """Parse "seconds:name,..." into [(seconds, name)]; ValueError names the invalid items and the valid names."""
+    schedule, invalid = [], []
     for item in filter(None, text.split(",")):
-        at, dash, name = item.partition(":")
-        if name in NAMES and at.replace(".", "", 1).isdigit():
-            rows.append((float(at), name))
+        at, _, name = item.partition(":")
+        if name in FAULT_NAMES and at.replace(".", "", 1).isdigit():
+            schedule.append((float(at), name))
         else:
-            bad.append(item)
-    if bad:
-        raise ValueError(f"not understood: {', '.join(bad)}; expected seconds:name of {', '.join(NAMES)}")
-    return rows
+            invalid.append(item)
+    if invalid:
+        raise ValueError(
+            f"invalid faults: {', '.join(invalid)}; expected seconds:name with one of {', '.join(FAULT_NAMES)}"
+        )
+    return schedule
 
 
 class Faults:
@@ -64,60 +66,60 @@
         self.threads, self.log = [], []
         self.lock = threading.Lock()
 
-    def later(self, span, call):
-        thread = threading.Timer(span, call)
+    def call_later(self, delay, call):
+        thread = threading.Timer(delay, call)
         thread.daemon = True
         thread.start()
         self.threads.append(thread)
 
     def plan(self, text):
         for at, name in parse(text):
-            self.later(at, lambda name=name: self.run(name))
+            self.call_later(at, lambda name=name: self.run(name))
 
     def run(self, name):
         self.log.append((round(clock.now(), 2), name))
         getattr(self, name)()
 
-    def back(self, name):
-        self.later(BACK, lambda: self.fleet.relaunch(name))
+    def restart_later(self, name):
+        self.call_later(RESTART_DELAY_S, lambda: self.fleet.relaunch(name))
 
     def kill_router(self):
         self.fleet.kill("route-2")
-        self.back("route-2")
+        self.restart_later("route-2")
 
     def term_router(self):
         self.fleet.signal("route-3", signal.SIGTERM)
-        self.fleet.procs["route-3"].wait(30)
-        self.back("route-3")
+        self.fleet.processes["route-3"].wait(30)
+        self.restart_later("route-3")
 
     def kill_owner(self):
         name = self.fleet.leader() or "keep-1"
         self.fleet.kill(name)
-        self.back(name)
+        self.restart_later(name)
 
     def term_owner(self):
         name = self.fleet.leader() or "keep-1"
         self.fleet.signal(name, signal.SIGTERM)
-        self.fleet.procs[name].wait(30)
-        self.back(name)
+        self.fleet.processes[name].wait(30)
+        self.restart_later(name)
 
     def wipe_keeper(self):
         name = self.fleet.leader() or "keep-1"
         self.fleet.kill(name)
         shutil.rmtree(self.fleet.settings[name]["data"])
-        self.back(name)
+        self.restart_later(name)
 
     def crash_replica(self):
-        self.fleet.fault("replica-2", crash=True)
-        self.fleet.procs["replica-2"].wait(10)
-        self.back("replica-2")
+        self.fleet.set_replica_fault("replica-2", crash=True)
+        self.fleet.processes["replica-2"].wait(10)
+        self.restart_later("replica-2")
 
     def leave_replica(self):
         self.fleet.set_listed({"name": "replica-3", "state": "leaving"})
 
     def freeze(self, name):
         self.fleet.signal(name, signal.SIGSTOP)
-        self.later(FREEZE, lambda: self.fleet.signal(name, signal.SIGCONT))
+        self.call_later(FREEZE_DURATION_S, lambda: self.fleet.signal(name, signal.SIGCONT))
 
     def freeze_router(self):
         self.freeze("route-4")
@@ -125,16 +127,16 @@
     def freeze_owner(self):
         self.freeze(self.fleet.leader() or "keep-1")
 
-    def cut(self, some, both=True):
-        self.fleet.relays.cut(some, [n for n in self.fleet.settings if n not in some], both)
-        self.later(HEAL, self.fleet.relays.heal)
+    def cut(self, names, both_directions=True):
+        self.fleet.relays.cut(names, [name for name in self.fleet.settings if name not in names], both_directions)
+        self.call_later(HEAL_DELAY_S, self.fleet.relays.heal)
         self.config()
 
     def cut_owner(self):
         self.cut([self.fleet.leader() or "keep-1"])
 
     def cut_owner_one_way(self):
-        self.cut([self.fleet.leader() or "keep-1"], both=False)
+        self.cut([self.fleet.leader() or "keep-1"], both_directions=False)
 
     def cut_core(self):
         self.cut([self.fleet.leader() or "keep-1", "route-1"])
@@ -143,52 +145,60 @@
         self.cut(["route-2"])
 
     def slow_links(self):
-        self.fleet.relays.delay = SLOW
-        self.later(HEAL, self.fleet.relays.heal)
+        self.fleet.relays.delay = ADDED_DELAY_S
+        self.call_later(HEAL_DELAY_S, self.fleet.relays.heal)
         self.config()
 
-    def hurt_disk(self, **faults):
+    def inject_leader_disk_fault(self, **faults):
         name = self.fleet.leader() or "keep-1"
-        self.fleet.disk(name, **faults)
+        self.fleet.set_disk_faults(name, **faults)
         self.config()
-        self.later(HEAL, lambda: (self.fleet.disk(name), self.fleet.kill(name), self.fleet.relaunch(name)))
+        self.call_later(
+            HEAL_DELAY_S, lambda: (self.fleet.set_disk_faults(name), self.fleet.kill(name), self.fleet.relaunch(name))
+        )
 
     def disk_slow(self):
-        self.hurt_disk(delay=SLOW)
+        self.inject_leader_disk_fault(delay=ADDED_DELAY_S)
 
     def disk_stalls(self):
-        self.hurt_disk(delay=3.0)
+        self.inject_leader_disk_fault(delay=3.0)
 
     def disk_full(self):
-        self.hurt_disk(full=True)
+        self.inject_leader_disk_fault(full=True)
 
     def disk_sync_fails(self):
-        self.hurt_disk(sync_fails=True)
+        self.inject_leader_disk_fault(sync_fails=True)
 
     def config(self):
         with self.lock:
             base = self.fleet.config()["latest"]
-            number = len(self.writes) + len(self.refused)
-            self.write(base, f"change-{number}", fleet_module.document(self.fleet.deployment, note=str(number)))
+            change_number = len(self.writes) + len(self.refused)
+            self.write(
+                base, f"change-{change_number}", fleet_module.document(self.fleet.deployment, note=str(change_number))
+            )
 
-    def write(self, base, mark, body):
-        code, said = self.fleet.apply(base, body, mark)
+    def write(self, base, request_id, body):
+        code, response = self.fleet.apply(base, body, request_id)
         if code == 0:
-            self.writes.append({"id": mark, "sequence": said["sequence"], "acked": clock.now(), "base": base})
+            self.writes.append({"id": request_id, "sequence": response["sequence"], "acked": clock.now(), "base": base})
         elif code == 5:
-            self.refused.append(mark)
-        self.log.append((round(clock.now(), 2), f"{mark}: exit {code}"))
+            self.refused.append(request_id)
+        self.log.append((round(clock.now(), 2), f"{request_id}: exit {code}"))
 
     def race(self):
         base = self.fleet.config()["latest"]
-        both = [
+        writers = [
             threading.Thread(
                 target=self.write,
-                args=(base, f"race-{base}-{n}", fleet_module.document(self.fleet.deployment, note=f"race {n}")),
+                args=(
+                    base,
+                    f"race-{base}-{number}",
+                    fleet_module.document(self.fleet.deployment, note=f"race {number}"),
+                ),
             )
-            for n in (1, 2)
+            for number in (1, 2)
         ]
-        for thread in both:
+        for thread in writers:
             thread.start()
-        for thread in both:
+        for thread in writers:
             thread.join()
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -65,8 +65,8 @@
     return {
         "asked": len(by),
         "in_time": round(good / max(1, len(by)), 4),
-        "first_p50": round(fleet_run.middle(first, 0.5), 4),
-        "first_p95": round(fleet_run.middle(first, 0.95), 4),
+        "first_p50": round(fleet_run.quantile(first, 0.5), 4),
+        "first_p95": round(fleet_run.quantile(first, 0.95), 4),
         "bounces": sum(r["status"] == 503 for r in rows),
     }
 
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -79,7 +79,7 @@
     """Map each daemon to (KiB resident, threads, open files, KiB in its data folder)."""
     found = {}
     for name, settings in fleet.settings.items():
-        pid = fleet.procs[name].pid
+        pid = fleet.processes[name].pid
         try:
             rows = dict(line.split(":", 1) for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines())
             files = len(os.listdir(f"/proc/{pid}/fd"))
@@ -102,11 +102,11 @@
     faults = ",".join(f"{at}:config" for at in range(3, int(seconds) - 5, 4))
     folder = tempfile.mkdtemp(prefix="mothshed-soak-")
 
-    def begun(fleet):
+    def on_serving(fleet):
         threading.Thread(target=watch, args=(fleet,), daemon=True).start()
 
     try:
-        rules, rows, ledger = fleet_run.run(folder, deployment, seconds, None, faults, 1, begun=begun)
+        rules, rows, ledger = fleet_run.run(folder, deployment, seconds, None, faults, 1, on_serving=on_serving)
     finally:
         stop.set()
         shutil.rmtree(folder, ignore_errors=True)
