--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -77,13 +77,13 @@
 def test_a_disconnect_during_the_response_ends_the_decode(fleet, stream):
     router, name = fleet.settings["route-1"]["http"], f"left-{stream}"
     connection = connect(router, 1, request_bytes(name, 400, stream))[0]
-    for at in fleet.replica_at.values():  # until one of them decodes
+    for at in fleet.replica_addresses.values():  # until one of them decodes
         with contextlib.suppress(TimeoutError):
             fleet.wait_http(at, "/condition", lambda c: c["role"] == "decode" and c["running"], 3)
             break
     connection.close()
     fleet.wait_http(router, "/condition", lambda c: c["flight"] == 0 and c["frees_left"] == 0)
-    for at in fleet.replica_at.values():
+    for at in fleet.replica_addresses.values():
         fleet.wait_http(at, "/condition", lambda c: c["running"] == 0)
     kinds = [r["kind"] for r in ledger_of(fleet, name)]
     assert "pull" in kinds and "decoded" not in kinds and kinds.count("export") == kinds.count("free")
