--- a/mothshed/http/connection_pool.py
+++ b/mothshed/http/connection_pool.py
@@ -98,11 +98,11 @@
             closing = [entries.pop(0)] if len(entries) > constants.MAX_IDLE_REPLICA_CONNECTIONS else []
             if now - self.swept_at > constants.IDLE_SWEEP_INTERVAL_S:
                 self.swept_at = now
-                closing += self.expired(now)
+                closing += self.remove_expired(now)
         for entry in closing:
             entry[0].close()
 
-    def expired(self, now: float) -> list[Entry]:
+    def remove_expired(self, now: float) -> list[Entry]:
         """Remove and return the expired connections of all addresses; the caller holds the lock."""
         closing = [entry for entries in self.idle.values() for entry in entries if entry[2] < now]
         remaining = {address: [entry for entry in entries if entry[2] >= now] for address, entries in self.idle.items()}
--- a/mothshed/http/http_server.py
+++ b/mothshed/http/http_server.py
@@ -80,7 +80,7 @@
 
 def request_headers(environ: Environ) -> dict[str, str]:
     """Return the request headers by lower-case name."""
-    return {k[5:].replace("_", "-").lower(): v for k, v in environ.items() if k.startswith("HTTP_")}
+    return {key[5:].replace("_", "-").lower(): value for key, value in environ.items() if key.startswith("HTTP_")}
 
 
 class BodyError(Exception):
@@ -127,7 +127,7 @@
 
     def get_environ(self) -> Environ:
         """Return the WSGI environment with `mothshed.caller` (Caller) and `mothshed.headers` (name -> text)."""
-        raw = {k.decode("latin-1"): v.decode("latin-1") for k, v in self.req.inheaders.items()}
+        raw = {name.decode("latin-1"): value.decode("latin-1") for name, value in self.req.inheaders.items()}
         return {**super().get_environ(), "mothshed.caller": caller.Caller(self.req.conn), "mothshed.headers": raw}
 
 
