--- a/tests/soak_exchanges.py
+++ b/tests/soak_exchanges.py
@@ -82,7 +82,7 @@
             return Outcome(request_id, service, 0, True)
         correct = (
             response.status >= 300
-            or data == soak_system.answer_to(request_id, body)
+            or data == soak_system.expected_response(request_id, body)
             and response.headers["Try-Id"] == request_id
         )
         return Outcome(request_id, service, response.status, correct)
@@ -127,7 +127,7 @@
     def reuse(self, replica):
         """Restart the replica on the same address as one of the other service."""
         other = soak_system.SERVICES[1 - soak_system.SERVICES.index(replica.depot)]
-        replica.begin_life(f"i-{self.random.getrandbits(32):08x}", other)
+        replica.start_instance(f"i-{self.random.getrandbits(32):08x}", other)
 
 
 def judge(runs, outcomes):
@@ -152,7 +152,7 @@
         system.configure()
         until = time.monotonic() + seconds
         injector = FaultInjector(system.router, system.replicas, until, seed)
-        callers = [Caller(n, system.door, until) for n in range(CALLERS)]
+        callers = [Caller(n, system.front_address, until) for n in range(CALLERS)]
         for thread in (*callers, injector):
             thread.start()
         for thread in (*callers, injector):
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -17,45 +17,45 @@
 
 START = pathlib.Path(__file__).parent.parent / "platform" / "start.py"
 SERVICES = ("one", "two")
-LIST_LAG = 0.4  # s; until the list shows that an address has gone to another life
+LIST_LAG_S = 0.4  # s until the list shows that an address belongs to another instance
 
 
-def answer_to(ask_id, body):
-    """The one right body of a request's answer."""
-    return hashlib.sha256(ask_id.encode() + b"/" + body).hexdigest().encode()
+def expected_response(request_id, body):
+    """Return the only correct response body for a request."""
+    return hashlib.sha256(request_id.encode() + b"/" + body).hexdigest().encode()
 
 
 class Replica(stand_in.Replica):
-    """Answers with what follows from the request, and keeps an account of its service.
+    """Responds with a body derived from the request and records the service that ran it.
 
-    Its address may go to another life, of another service, which the list shows later.
+    Its address may pass to another instance, of another service; the list shows this late.
     """
 
     def __init__(self, platform, depot):
-        self.lives, self.shown = {}, (0.0, "", "")
+        self.instances, self.previous_listing = {}, (0.0, "", "")
         super().__init__(platform, depot, "decode", events=0)
-        self.lives[self.name] = depot
+        self.instances[self.name] = depot
 
-    def begin_life(self, name, depot):
-        """Serve under another name from now on; the list shows it late."""
-        self.shown = (time.monotonic() + LIST_LAG, self.name, self.depot)
-        self.lives[name] = depot
+    def start_instance(self, name, depot):
+        """Serve under another name from now on; the list shows this late."""
+        self.previous_listing = (time.monotonic() + LIST_LAG_S, self.name, self.depot)
+        self.instances[name] = depot
         self.depot, self.name = depot, name
 
     def row(self):
-        """Give the list's entry, as old as the list lags."""
-        until, name, depot = self.shown
+        """Return the entry of the list, which lags by LIST_LAG_S."""
+        until, name, depot = self.previous_listing
         if time.monotonic() >= until:
-            name, depot = self.name, self.lives[self.name]
+            name, depot = self.name, self.instances[self.name]
         return {**super().row(), "replica_id": name, "depot": depot}
 
     def run(self, conn, request, fault, more):
-        """Run one request and answer it, as the fault says."""
-        whole = answer_to(request.get("Try-Id"), request.body)
+        """Run one request and send its response, with the injected fault."""
+        body = expected_response(request.get("Try-Id"), request.body)
         stamp = f"stamp.{next(stand_in.COUNT)}"
-        service = self.lives[request.get("Expect-Replica", self.name)]
+        service = self.instances[request.get("Expect-Replica", self.name)]
         self.platform.runs.append({"id": request.get("Try-Id"), "service": service})
-        data = bare_http.whole(200, [*more, ("Postmark", stamp)], whole)
+        data = bare_http.whole(200, [*more, ("Postmark", stamp)], body)
         conn.sendall(data[: len(data) - 2] if "break" in fault else data)
         if "late" in fault:
             conn.sendall(data)
@@ -71,8 +71,8 @@
         self.platform = stand_in.Platform()
         self.replicas = [Replica(self.platform, SERVICES[n % 2]) for n in range(6)]
         port, self.procs = fleet.free_port("127.0.0.1"), []
-        self.control = f"127.0.0.2:{fleet.free_port('127.0.0.2')}"
-        self.door = f"127.0.0.3:{fleet.free_port('127.0.0.3')}"
+        self.control_address = f"127.0.0.2:{fleet.free_port('127.0.0.2')}"
+        self.front_address = f"127.0.0.3:{fleet.free_port('127.0.0.3')}"
         common = {
             "zone": "a",
             "port_range": [port, port + 9],
@@ -82,9 +82,13 @@
             "withstand": {"machine_loss": 0},
             "first_run": True,
         }
-        keeper = {"own_ip": "127.0.0.2", "gates": {"signal_box": self.control}, "data_path": str(folder / "keep")}
+        keeper = {
+            "own_ip": "127.0.0.2",
+            "gates": {"signal_box": self.control_address},
+            "data_path": str(folder / "keep"),
+        }
         ready = f"127.0.0.3:{fleet.free_port('127.0.0.3')}"
-        router = {"own_ip": "127.0.0.3", "gates": {"counter": self.door, "readiness": ready}}
+        router = {"own_ip": "127.0.0.3", "gates": {"counter": self.front_address, "readiness": ready}}
         (folder / "keep").mkdir()
         self.keeper = self.start(folder, "keep", {**common, **keeper, "station": "keep-1"})
         self.router = self.start(folder, "route", {**common, **router, "station": "route-1"})
@@ -99,19 +103,21 @@
         return self.procs[-1]
 
     def configure(self):
-        """The first configuration, sent until it is taken; then until the router serves by it."""
+        """Send the first configuration until it is accepted, and wait until the router uses it."""
         routes = [
             platform_site.route(f"r-{n}", f"{n}.example", n, kind="once_only", tries=3, deadline_ms=1500)
             for n in SERVICES
         ]
-        said = {"edition": 1, "itineraries": routes, "depots": [platform_site.depot(n, False) for n in SERVICES]}
-        data, headers = json.dumps(said).encode(), [("Host", "k"), ("If-Match", "0")]
-        platform_site.until(lambda: self.answers(self.control, "PUT", "/configuration", data, headers) == 200, 20.0)
+        document = {"edition": 1, "itineraries": routes, "depots": [platform_site.depot(n, False) for n in SERVICES]}
+        data, headers = json.dumps(document).encode(), [("Host", "k"), ("If-Match", "0")]
+        platform_site.until(
+            lambda: self.request_status(self.control_address, "PUT", "/configuration", data, headers) == 200, 20.0
+        )
         own = [("Host", "one.example"), ("Try-Id", "first")]
-        platform_site.until(lambda: self.answers(self.door, "POST", "/p/first", b"", own) == 200, 20.0)
+        platform_site.until(lambda: self.request_status(self.front_address, "POST", "/p/first", b"", own) == 200, 20.0)
 
-    def answers(self, address, method, target, body, headers):
-        """Give the status of one call, 0 after a failure."""
+    def request_status(self, address, method, target, body, headers):
+        """Return the status of one request, 0 after a failure."""
         try:
             return platform_site.ask(address, method, target, body, headers).status
         except (OSError, http.client.HTTPException):
@@ -119,7 +125,7 @@
             return 0
 
     def stop(self):
-        """End the processes that were started here."""
+        """Kill the started processes and stop the stand-ins."""
         for proc in self.procs:
             proc.send_signal(signal.SIGCONT)
             proc.kill()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Every simulated day, each with a fixed seed: every rule kept, service back in time.
+"""Every simulated scenario with a fixed seed: all rules hold and service returns in time.
 
 More seeds: python -m tools.simulate --day all --seeds 1-50
 """
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("name", list(scenarios.SCENARIOS))
-def test_a_day_keeps_every_rule(name):
+def test_every_rule_holds_in_each_scenario(name):
     broken, fleet = simulate.run_scenario(name, 1)
     assert broken == {}
     assert (
         proof_table.unexercised_rules(name, weight.weights(fleet, fleet.recovered_at)) == []
-    )  # every rule had something to judge
+    )  # each rule judged some event
 
 
 @pytest.mark.parametrize(
@@ -31,10 +31,10 @@
         ("replica_answers_broken", 202),
     ],
 )
-def test_a_seed_that_once_failed(name, seed):
+def test_every_rule_holds_for_seeds_of_earlier_failures(name, seed):
     assert simulate.run_scenario(name, seed)[0] == {}
 
 
-def test_a_seed_repeats_exactly():
-    one, two = (simulate.run_scenario("anything", 2)[1] for _ in range(2))
-    assert (one.rows, one.ledger, one.loop.steps) == (two.rows, two.ledger, two.loop.steps)
+def test_the_same_seed_gives_the_same_run():
+    first, second = (simulate.run_scenario("anything", 2)[1] for _ in range(2))
+    assert (first.rows, first.ledger, first.loop.steps) == (second.rows, second.ledger, second.loop.steps)
--- a/tests/test_permit_days.py
+++ b/tests/test_permit_days.py
@@ -1,4 +1,4 @@
-"""Limits in a simulated fleet whose keepers and routers die and restart: never exceeded, no early rejections."""
+"""Limits in a simulated fleet whose keepers and routers die and restart: neither exceeded nor enforced early."""
 
 import pytest
 
@@ -8,30 +8,30 @@
 WINDOWS_S = (0.5, 1.0, 5.0)
 
 
-def schedule_trouble(found, trouble):
+def schedule_failure(found, failure):
     """Schedule the failures in the middle of the load."""
     fleet = found.fleet
     leader = fleet.leader(permit_fleet.PART)
-    if trouble == "leader dies":
+    if failure == "leader dies":
         fleet.call_later(2.0, lambda: fleet.kill(leader))
         fleet.call_later(5.0, lambda: fleet.start(leader))
-    if trouble == "leaders die in turn":
+    if failure == "leaders die in turn":
         for at in (2.0, 5.0, 8.0):
             fleet.call_later(at, lambda: fleet.kill(fleet.leader(permit_fleet.PART) or leader))
             fleet.call_later(at + 2.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
-    if trouble == "all keepers die":
+    if failure == "all keepers die":
         fleet.call_later(2.0, lambda: [fleet.kill(name) for name in fleet.names("keep")])
         fleet.call_later(3.0, lambda: [fleet.start(name) for name in fleet.names("keep")])
-    if trouble == "routers die":
+    if failure == "routers die":
         for name in fleet.names("route")[1:]:
             fleet.call_later(3.0, lambda name=name: fleet.kill(name))
             fleet.call_later(4.0, lambda name=name: fleet.start(name))
 
 
-@pytest.mark.parametrize("trouble", ["none", "leader dies", "leaders die in turn", "all keepers die", "routers die"])
-def test_a_tenant_far_over_its_limit_never_exceeds_it(trouble):
-    found = permit_fleet.PermitFleet(f"limit-{trouble}", RATE, BURST, routers=4)
-    schedule_trouble(found, trouble)
+@pytest.mark.parametrize("failure", ["none", "leader dies", "leaders die in turn", "all keepers die", "routers die"])
+def test_a_tenant_far_over_its_limit_never_exceeds_it(failure):
+    found = permit_fleet.PermitFleet(f"limit-{failure}", RATE, BURST, routers=4)
+    schedule_failure(found, failure)
     found.load(8 * RATE, 10.0)
     found.fleet.run(10.0 + permit_fleet.WAIT_TIMEOUT_S)
     assert max(found.max_excess(window_s) for window_s in WINDOWS_S) <= 0
--- a/tests/test_proof.py
+++ b/tests/test_proof.py
@@ -1,4 +1,4 @@
-"""The proof's own books: the table is whole and current, clocks are only boot clocks."""
+"""The table of the proof is complete and current; decisions read only the boot clock."""
 
 import ast
 import pathlib
@@ -14,7 +14,7 @@
 WALL = {("time", "time"), ("time", "time_ns"), ("datetime", "now"), ("datetime", "utcnow"), ("time", "localtime")}
 
 
-def test_the_page_has_a_row_for_every_day_and_every_rule_had_something_to_judge():
+def test_the_page_has_a_row_for_every_scenario_in_which_every_rule_judged_some_event():
     assert proof_table.unmatched_names() == []
     page = (ROOT / "docs" / "proof.md").read_text().splitlines()
     assert [line for line in proof_table.table_header() + proof_table.protection_rows() if line not in page] == []
@@ -30,7 +30,7 @@
 
 
 def test_clocks_no_decision_reads_wall_time():
-    """Wall time appears once, as the `created` field of an answer; leases count on the boot clock."""
+    """Only the `created` field of a response reads wall time; leases are timed by the boot clock."""
     found = []
     for path in sorted((ROOT / "mothshed").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -44,7 +44,7 @@
     assert abs(clock.now() - time.clock_gettime(time.CLOCK_BOOTTIME)) < 60
 
 
-def test_clocks_a_day_is_the_same_whatever_the_wall_clock_does():
+def test_clocks_a_run_does_not_depend_on_the_wall_clock():
     plain = simulate.run_scenario("kill_owner", 3)[1]
     jumps = iter(range(10**9))
     with unittest.mock.patch("time.time", lambda: (-1) ** next(jumps) * 1e6):
--- a/tests/test_protections.py
+++ b/tests/test_protections.py
@@ -1,4 +1,4 @@
-"""Each protection taken out: its rule must be seen to break, or its day proves nothing."""
+"""Once a protection is removed, its rule must break; otherwise its scenario proves nothing."""
 
 import pytest
 
@@ -6,5 +6,5 @@
 
 
 @pytest.mark.parametrize("name", list(protections.ROWS))
-def test_without_it_the_rule_breaks(name):
+def test_removing_a_protection_breaks_its_rule(name):
     assert protections.find_breaking_seed(name) is not None
--- a/tools/proof_table.py
+++ b/tools/proof_table.py
@@ -1,11 +1,10 @@
-"""The table of docs/proof.md: every "must never" against every "what fails".
+"""Print the table of docs/proof.md: each rule ("must never") against each scenario ("what fails").
 
-python -m tools.proof_table --jobs 8         runs every day once and prints it
+python -m tools.proof_table --jobs 8         runs each scenario once and prints the table
 
-A row is a day, named after what it brings about; a cell says how many things the
-rule had to judge on it (runs, bounces, sends, orders, requests). A cell of zero
-proves nothing and fails a test. Below stand the protections, each with the day on
-which its rule breaks once it is taken out.
+A row is a scenario, named after its fault; a cell is the number of events that the rule judged in it (runs,
+rejections, sends, orders, requests). A zero proves nothing and fails a test. A second table lists the protections,
+each with the scenario in which its rule breaks once the protection is removed.
 """
 
 import argparse
@@ -81,14 +80,14 @@
 FINAL_FAULT_SCENARIOS = tuple(SCENARIOS_BY_FAULT["closing fault"])
 
 
-def day_weights(job):
-    """(day, its weights, the rules it broke)."""
+def run_and_weigh(job):
+    """Return (day, events judged by each rule, broken rules)."""
     broken, fleet = simulate.run_scenario(*job)
     return job[0], weight.weights(fleet, fleet.recovered_at), sorted(broken)
 
 
 def unexercised_rules(day, weights):
-    """Rules that had nothing to judge on this day, though they should have had."""
+    """Return the rules that judged no event of this scenario although they should have."""
     return [
         rule
         for rule in RULES_BY_COLUMN.values()
@@ -111,13 +110,13 @@
 
 
 def unmatched_names():
-    """Names in the table that no day or test has, and days that the table leaves out."""
+    """Return names in the table without a scenario or test, and scenarios missing from the table."""
     named = {d for names in SCENARIOS_BY_FAULT.values() for d in names}
     return sorted((named - set(scenarios.SCENARIOS) - {"test_clocks"}) | (set(scenarios.SCENARIOS) - named))
 
 
 def main():
-    parser = argparse.ArgumentParser(description="what each rule judged on each day")
+    parser = argparse.ArgumentParser(description="events judged by each rule in each scenario")
     parser.add_argument("--jobs", type=int, default=1)
     args = parser.parse_args()
     if args.jobs < 1:
@@ -125,7 +124,7 @@
     names = [d for many in SCENARIOS_BY_FAULT.values() for d in many if d in scenarios.SCENARIOS]
     print("\n".join(table_header()))
     for day, weights, broken in simulate.run_jobs(
-        [(n, 1, "patinetes", "brief") for n in names], args.jobs, day_weights
+        [(n, 1, "patinetes", "brief") for n in names], args.jobs, run_and_weigh
     ):
         print(format_row(day, weights) + (f" BROKEN {broken}" if broken else ""), flush=True)
     print("\n" + "\n".join(protection_rows()))
--- a/tools/protections.py
+++ b/tools/protections.py
@@ -1,11 +1,11 @@
-"""Every protection taken out, one at a time, to see the judge's rule break.
+"""Remove each protection in turn and check that its rule of the judge breaks.
 
-A rule that still holds with its protection gone is not proved by its day. The rows
-of removed_protections.py name the protection, how it is taken out, the day that needs it and
-the rule that must then break under one of a few seeds.
+A scenario proves a rule only if the rule breaks once its protection is removed. The rows of
+removed_protections.py name the protection, its patch, the scenario that needs it and the rule that must then break
+with one of a few seeds.
 
-python -m tools.protections                        each on its own day; what broke
-python -m tools.protections --days all --jobs 8    each on every day
+python -m tools.protections                        each in its own scenario; what broke
+python -m tools.protections --days all --jobs 8    each in every scenario
 """
 
 import argparse
@@ -22,7 +22,7 @@
 
 
 def find_breaking_seed(name, day=None, seeds=SEEDS):
-    """The first seed that breaks the row's rule on its day (or another), or None."""
+    """Return (seed, first finding) of the first seed that breaks the row's rule in its or another scenario, or None."""
     patch, own_scenario, rule = ROWS[name]
     for seed in range(1, 1 + seeds):
         weakened.HANDLES.clear()
@@ -31,7 +31,7 @@
             try:
                 broken = simulate.run_scenario(day or own_scenario, seed)[0]
             except RuntimeError:
-                continue  # not even ready: says nothing about the rule
+                continue  # the fleet was not ready, which does not concern the rule
         if rule in broken:
             return seed, broken[rule][0]
     return None
@@ -43,7 +43,7 @@
 
 
 def run_every_scenario(jobs, seeds):
-    """Each protection taken out on every day: on which of them its rule was at risk."""
+    """Remove each protection in every scenario and print those in which its rule broke; return how many never broke."""
     print("| protection taken out | rule | days | broke on |\n|---|---|---|---|")
     broken_on, last, not_broken = [], list(scenarios.SCENARIOS)[-1], 0
     for name, day, broke in simulate.run_jobs(
@@ -61,9 +61,11 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description="protections taken out, to see their rules break")
-    parser.add_argument("--days", choices=["own", "all"], default="own", help="own: the day named for each")
-    parser.add_argument("--seeds", type=int, default=1, help="with --days all: seeds tried on each day")
+    parser = argparse.ArgumentParser(description="remove protections to check that their rules break")
+    parser.add_argument(
+        "--days", choices=["own", "all"], default="own", help="own: the scenario named for each protection"
+    )
+    parser.add_argument("--seeds", type=int, default=1, help="with --days all: seeds per scenario")
     parser.add_argument("--jobs", type=int, default=1)
     args = parser.parse_args()
     if args.seeds < 1 or args.jobs < 1:
--- a/tools/removed_protections.py
+++ b/tools/removed_protections.py
@@ -1,4 +1,4 @@
-"""The protections, each with a way to take it out, the day that needs it and its rule."""
+"""The protections: name -> (patch that removes it, scenario that needs it, rule that then breaks)."""
 
 import mothshed.configuration.lease as lease
 import mothshed.constants as constants
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -1,4 +1,4 @@
-"""Runs simulated days over many seeds and says how to repeat each failure.
+"""Run simulated scenarios over many seeds and print how to repeat each failure.
 
 python -m tools.simulate --day kill_owner --seeds 1-50
 python -m tools.simulate --day all --seeds 1-5
@@ -17,11 +17,11 @@
 import tools.simulator.scenario_base as scenario_base
 import tools.simulator.scenarios as scenarios
 
-RECOVERY_S = 12.0  # s; service returns within this after the machines have recovered
-PLANNED_SCENARIOS = ("calm", "polite_stops", "configuration_storm", "leaving", "list_down")  # only planned things
-MIN_LOAD_S = 20.0  # s; least length of a day's load
-TRAFFIC_START_S = 12.0  # s; the brief: traffic begins about this long after the machines start
-REQUESTS_PER_S = 8.0  # requests a second
+RECOVERY_S = 12.0  # s; service must have returned this long after the recovery of the machines
+PLANNED_SCENARIOS = ("calm", "polite_stops", "configuration_storm", "leaving", "list_down")  # without unplanned faults
+MIN_LOAD_S = 20.0  # s
+TRAFFIC_START_S = 12.0  # s; with --size brief, traffic starts this long after the machines
+REQUESTS_PER_S = 8.0
 
 
 def fleet_options(deployment, size):
@@ -32,7 +32,7 @@
 
 
 def run_scenario(name, seed, deployment="patinetes", size="small", **shape):
-    """Runs one day; returns (broken rules, fleet)."""
+    """Run one scenario; return (broken rules, fleet)."""
     fleet = fleet_module.SimFleet(
         f"{name}.{seed}",
         deployment,
@@ -43,7 +43,7 @@
     if size == "brief":
         fleet.run(max(0.0, started_at + TRAFFIC_START_S - fleet.loop.time))
     recovery = scenarios.SCENARIOS[name](fleet)
-    scenario_base.companions(fleet)
+    scenario_base.schedule_common_events(fleet)
     final_checks.sample_pool(fleet)
     length = max(MIN_LOAD_S, (recovery or 0) + RECOVERY_S + 6)
     start = fleet.loop.time
@@ -92,7 +92,7 @@
 
 
 def run_job(job):
-    """(job, broken rules) of one day, a crash included; for a pool of processes."""
+    """Return (job, broken rules) of one run; a crash counts as a broken rule. For a pool of processes."""
     name, seed, deployment, size = job
     try:
         return job, run_scenario(name, seed, deployment, size)[0]
@@ -101,7 +101,7 @@
 
 
 def run_jobs(jobs, count, call=run_job):
-    """Runs (day, seed, deployment, size) rows, several at once; yields what call(job) gives, in order."""
+    """Run the jobs, several at once; yield call(job) in their order. A job is (day, seed, deployment, size)."""
     if count == 1:
         yield from map(call, jobs)
         return
@@ -110,7 +110,7 @@
 
 
 def parse_seeds(parser, args):
-    """The range of --seeds; a bad one, an empty one or no job at all is the parser's one error."""
+    """Return the range of --seeds; exit with a usage error if --seeds or --jobs is invalid."""
     try:
         seeds = parse_range(args.seeds)
     except ValueError:
@@ -121,26 +121,26 @@
 
 
 def parse_seeds_and_jobs(text, usual):
-    """The command line of a tool that only takes these two."""
+    """Parse the command line of a tool that takes only --seeds and --jobs."""
     parser = argparse.ArgumentParser(description=text)
     parser.add_argument("--seeds", default=usual, help="first-last")
-    parser.add_argument("--jobs", type=int, default=1, help="runs at once, each in a process of its own")
+    parser.add_argument("--jobs", type=int, default=1, help="runs at once, each in its own process")
     args = parser.parse_args()
     return parse_seeds(parser, args), args.jobs
 
 
 def main():
-    parser = argparse.ArgumentParser(description="simulated days over many seeds")
-    parser.add_argument("--day", default="all", help="a day's name, several with commas, or all")
+    parser = argparse.ArgumentParser(description="run simulated scenarios over many seeds")
+    parser.add_argument("--day", default="all", help="name of a scenario, several separated by commas, or all")
     parser.add_argument("--seeds", default="1-5", help="first-last")
     parser.add_argument("--deployment", default="patinetes", choices=sorted(deployments.DEPLOYMENTS))
     parser.add_argument("--size", default="small", choices=["small", "brief"], help="brief: the deployment's own size")
-    parser.add_argument("--jobs", type=int, default=1, help="days run at once, each in a process of its own")
+    parser.add_argument("--jobs", type=int, default=1, help="scenarios run at once, each in its own process")
     args = parser.parse_args()
     names = list(scenarios.SCENARIOS) if args.day == "all" else args.day.split(",")
     for name in names:
         if name not in scenarios.SCENARIOS:
-            parser.error(f"--day: no day is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
+            parser.error(f"--day: no scenario is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
     seeds = parse_seeds(parser, args)
     failed_total, failed = 0, 0
     for (name, seed, deployment, size), broken in run_jobs(
--- a/tools/simulator/environment.py
+++ b/tools/simulator/environment.py
@@ -1,4 +1,4 @@
-"""The simulator's Environment and Disk: the same shape as the real ones."""
+"""The simulated Environment and Disk, with the interfaces of the real ones."""
 
 import errno
 import math
@@ -72,7 +72,7 @@
 
 
 class ReplicaFaults(dict):
-    """A replica's faults; while there are any, its machine counts as hit."""
+    """The injected faults of a replica; its machine counts as faulty while there are any."""
 
     def __init__(self, machine):
         super().__init__()
@@ -91,11 +91,10 @@
 
 
 class SimFolder(volatile_folder.VolatileFolder):
-    """The files of a simulated machine, with faults that a day can switch on.
+    """The files of a simulated machine, with faults that a scenario can activate.
 
-    full: every write is refused. sync_fails: so is every sync. delay: seconds that
-    each sync takes; the machine stands still meanwhile, as a process waiting for its
-    disk does.
+    full: every write fails. sync_fails: every sync fails. delay: seconds that each sync takes; the machine is
+    frozen meanwhile, like a process that waits for its disk.
     """
 
     def __init__(self, machine):
@@ -106,7 +105,7 @@
         self.before_step = self.inject_faults
 
     def inject_faults(self, step, name):
-        """Fails or waits in the calls that the switched-on faults concern."""
+        """Fail or delay the calls that the active faults affect."""
         if self.full and step in ("create", "write"):
             raise OSError(errno.ENOSPC, "no space left on device")
         if step in ("fsync", "sync_directory"):
@@ -117,12 +116,12 @@
 
 
 def fault_switch(name):
-    """A property of SimDisk that reads and sets a fault of its files."""
+    """Return a property that reads and sets a fault of the disk's folder."""
     return property(lambda disk: getattr(disk.files, name), lambda disk, value: setattr(disk.files, name, value))
 
 
 class SimDisk(disk_module.Disk):
-    """The product's Disk over files that lose unsynced bytes and names in a crash."""
+    """The product's Disk on a folder that loses unsynced writes and names in a crash."""
 
     full, sync_fails, delay = (fault_switch(name) for name in ("full", "sync_fails", "delay"))
 
@@ -131,20 +130,20 @@
         self.loop = loop
 
     def crash(self):
-        """Power is lost: each unsynced write and name is kept or lost by itself."""
+        """Lose power: each unsynced write and name change is kept or lost independently."""
         self.files.lose_power(self.loop.random)
         self.forget_process()
 
     def wipe(self):
-        """Every file is gone, as on a new disk."""
+        """Remove all files, as on a new disk."""
         self.files.restore({})
         self.forget_process()
 
     def forget_process(self):
-        """Handles, and what the process knew of failed files, end with it."""
+        """Drop the state of the ended process: its handles and the names of failed files."""
         self.handles.clear()
         self.failed_names.clear()
 
     def size(self):
-        """Bytes in all files."""
+        """Return the total size of all files in bytes."""
         return sum(len(self.files.read(name)) for name in self.files.names())
--- a/tools/simulator/final_checks.py
+++ b/tools/simulator/final_checks.py
@@ -1,4 +1,4 @@
-"""The end of a simulated day: rest, read the configuration back, judge everything."""
+"""The end of a simulated run: wait for the fleet to settle, read the configuration back, check all rules."""
 
 import collections
 
@@ -8,7 +8,7 @@
 
 
 def check_control_plane(fleet):
-    """At the end every part has one leader and exactly the living keepers as members."""
+    """Return the parts that lack a single leader or whose members are not exactly the live keepers."""
     errors, alive = [], [n for n in fleet.names("keep") if fleet.machines[n].alive]
     for part in range(len(fleet.parts[alive[0]].members)):
         members = {n: fleet.parts[n].members[part] for n in alive}
@@ -22,7 +22,7 @@
 
 
 def sample_pool(fleet, interval_s=0.25):
-    """Notes each moment in which the listed, living replicas have no prefill or no decode among them."""
+    """Sample periodically whether the listed live replicas include both prefill and decode."""
 
     def sample():
         listed = [n for n, row in fleet.list.past[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive]
@@ -34,7 +34,7 @@
 
 
 def check_pool(fleet, max_gap_s=4.0):
-    """A pool is never without one side for longer than a new holder's silence and a look."""
+    """Return the times at which a role was missing for longer than a new leader waits, plus a sampling interval."""
     errors, since = [], None
     for at, whole in fleet.pool_samples:
         since = None if whole else since or at
@@ -44,15 +44,15 @@
 
 
 def read_path(fleet, path):
-    """What the keepers answer to a question of the operator's, or None."""
+    """Return the keepers' response to a GET by the operator, or None."""
     status, response = fleet.ask("GET", path, attempts=40)
     return response if status == 200 else None
 
 
 def settle_and_check(fleet, release_grace_s=3.0):
-    """Lets everything come to rest, reads the configuration back, applies every rule."""
+    """Let the fleet settle, read the configuration back and return the broken rules."""
     results = []
-    fleet.run(8.0)  # the last writes have got their answers: what is read now must hold them
+    fleet.run(8.0)  # all writes are answered by now, so the read must include them
     ids = [row["id"] for row in fleet.writes] + list(fleet.refused)
     fleet.operator(lambda: results.append(read_back.read_back(lambda path: read_path(fleet, path), ids)))
     fleet.run(17.0)
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -1,8 +1,7 @@
-"""A simulated fleet: the product's own keepers, routers and fronts, with stand-ins.
+"""A simulated fleet: the product's keepers, routers and fronts, with stand-ins for replicas and the platform.
 
-Machines are named; `kill`, `start`, `wipe` and the network's cuts act on names.
-Callers, the platform's list and operators sit on machines of their own that no
-fault touches. Everything the judge reads is recorded here.
+Machines are named; `kill`, `start`, `wipe` and the network's cuts take these names. Callers, the platform's list
+and operators run on separate machines without faults. All that the judge reads is recorded here.
 """
 
 import random
@@ -32,10 +31,10 @@
         self.machines, self.disks, self.parts, self.settings = {}, {}, {}, {}
         self.ledger, self.rows, self.writes, self.refused, self.unknown = [], [], [], [], []
         self.router_deaths = []
-        self.id_suffix = ""  # set apart the writes of a day that is run again
-        self.excluded_replicas = []  # replicas that only the day's own faults may take away
-        self.pool_samples = []  # (moment, whether both sides of the pool were there)
-        self.memory_may_expire = False  # whether held memory may end by lapsing
+        self.id_suffix = ""  # distinguishes the writes when a scenario is run again
+        self.excluded_replicas = []  # replicas that only the scenario's own faults may remove
+        self.pool_samples = []  # (time, whether the pool had both roles)
+        self.memory_may_expire = False  # whether exported memory may expire without a release
         self.outside = self.machine("outside")
         self.ops = self.environment(self.outside, "10.0.0.1:1")
         self.operator_client = operator_client.OperatorClient(self, self.ops)
@@ -43,7 +42,7 @@
         self.net.apps["10.0.0.2:80"] = (self.machine("list"), self.list)
         self.losses = losses
         addresses = [f"10.1.0.{index + 1}:70" for index in range(keepers)]
-        self.seeds = addresses[:3]  # a process is told of three at most
+        self.seeds = addresses[:3]  # a process gets three seeds at most
         for index in range(replicas):
             self.add_replica(f"replica-{index + 1}", index)
         if replicas:
@@ -81,7 +80,7 @@
         self.start_replica(name, machine)
 
     def ledger_of(self, name):
-        """All replicas write to one ledger, which survives their crashes."""
+        """Return a ledger for this replica; all write to one list, which survives their crashes."""
         return replica_memory.Ledger(None, name, lambda: self.loop.time, self.ledger)
 
     def start_replica(self, name, machine):
@@ -141,7 +140,7 @@
         self.parts[name] = router
         self.net.apps[settings["http"]] = (machine, router_front.CompletionsFront(router))
 
-    # --- what happens to machines ---
+    # --- faults and restarts of machines ---
     def kill(self, name, planned=False):
         machine = self.machines[name]
         if machine.alive:
@@ -149,7 +148,7 @@
             if name in self.disks:
                 self.disks[name].crash()
             elif name.startswith("route"):
-                # what it owed is kept by one neighbour; with both gone it may lapse
+                # one neighbour backs up its pending releases; if both die, memory may expire unreleased
                 self.memory_may_expire = self.memory_may_expire or any(
                     self.loop.time - at < 15 for at in self.router_deaths
                 )
@@ -170,7 +169,7 @@
             self.start_replica(name, machine)
 
     def move(self, name, address):
-        """A machine comes back at a new address."""
+        """Give a stopped machine a new address."""
         old = self.settings[name]
         self.net.apps.pop(old["http"], None)
         self.net.machines.pop(old["address"], None)
@@ -178,7 +177,7 @@
         self.settings[name] = {**old, "address": address, "http": f"{host}:80"}
 
     def set_rate(self, name, rate):
-        """The machine's clock runs at this rate of true time from now on."""
+        """Run the machine's clock at this rate from now on; 1.0 is true time."""
         self.machines[name].set_rate(rate)
 
     def wipe(self, name):
@@ -199,7 +198,7 @@
     def run(self, span):
         self.loop.run(self.loop.time + span)
 
-    # --- what callers and operators do ---
+    # --- callers and operators ---
     def http(self, stem):
         return [s["http"] for n, s in self.settings.items() if n.startswith(stem)]
 
@@ -207,15 +206,15 @@
         self.loop.spawn(self.outside, call)
 
     def ask(self, method, path, body=None, attempts=8):
-        """One operator's question to the keepers, tried until answered."""
+        """Send an operator's request to the keepers, with retries until one answers."""
         return self.operator_client.ask(method, path, body, attempts)
 
     def apply(self, order_id, base=None, body=None, attempts=8):
-        """Writes a document; the end is recorded for the judge."""
+        """Write a configuration document; the outcome is recorded for the judge."""
         self.operator_client.apply(order_id, base, body, attempts)
 
     def ready(self, timeout_s=20.0, body=None):
-        """Runs until the first document is active and every replica has a role."""
+        """Run until the first document is active and every replica has a role."""
         self.operator(lambda: self.apply("first", 0, body, attempts=30))
         until = self.loop.time + timeout_s
         while self.loop.time < until:
@@ -227,7 +226,7 @@
                     return
                 if routers and all(len(r.replicas.usable({}, "decode")) > 0 for r in routers):
                     return
-        raise RuntimeError("the fleet never became ready")
+        raise RuntimeError("the fleet was not ready in time")
 
     def load(self, rate, seconds, seed=None, kinds=callers.KINDS, tenants=None):
         routers = {}
--- a/tools/simulator/loop.py
+++ b/tools/simulator/loop.py
@@ -1,8 +1,8 @@
-"""Virtual time and tasks: one event after another, the same for the same seed.
+"""Virtual time and tasks: a deterministic event loop, the same for the same seed.
 
-Straight-down code runs in greenlets, one at a time, that give way only where the
-product sleeps, waits for an event or for the network. Events belong to a machine: a
-dead machine's are dropped, a frozen machine's wait for its thaw in their order.
+Synchronous code runs in greenlets, one at a time, which yield only where the product sleeps, waits for an event or
+for the network. Callbacks belong to a machine: those of a dead machine are dropped, those of a frozen machine run
+in their order once it resumes.
 """
 
 import heapq
@@ -14,14 +14,14 @@
 
 
 class Machine:
-    """Something that can be killed, frozen and restarted."""
+    """A simulated machine, which can be killed, frozen and restarted."""
 
     def __init__(self, loop, name):
         self.loop, self.name = loop, name
         self.alive, self.epoch, self.frozen_until = True, 0, 0.0
         self.on_kill = []  # callbacks: connections to reset, disks to crash
-        self.clock, self.rate = (0.0, 0.0), 1.0  # own and true time when its rate was set
-        self.fault_spans = []  # spans [from, until] in which something unplanned befell it
+        self.clock, self.rate = (0.0, 0.0), 1.0  # local and true time when the rate was set
+        self.fault_spans = []  # spans [from, until] of unplanned faults
 
     def mark_faulty(self, span=math.inf):
         self.fault_spans.append([self.loop.time, self.loop.time + span])
@@ -31,8 +31,8 @@
             span[1] = min(span[1], self.loop.time)
 
     def now(self):
-        own_time, true_time = self.clock
-        return own_time + (self.loop.time - true_time) * self.rate
+        local_time, true_time = self.clock
+        return local_time + (self.loop.time - true_time) * self.rate
 
     def set_rate(self, rate):
         self.clock, self.rate = (self.now(), self.loop.time), rate
@@ -62,8 +62,8 @@
         self.random = random.Random(seed)
         self.heap, self.count = [], itertools.count()
         self.hub = greenlet.getcurrent()
-        self.tasks = []  # tasks of dead machines: never run again, never collected early
-        self.errors = []  # exceptions that escaped a callback or task
+        self.tasks = []  # references: collecting a task of a dead machine would run its finally blocks
+        self.errors = []  # uncaught exceptions of callbacks and tasks
         self.steps = 0
 
     def at(self, delay, machine, call):
@@ -78,7 +78,7 @@
                 if not machine.alive or machine.epoch != epoch:
                     continue
                 if machine.frozen_until > self.time:
-                    # after a thaw, timers and what came by the network race each other
+                    # after a freeze, timers and received messages run in random order
                     late = self.random.random() * 0.005 if getattr(call, "is_timer", False) else 0.0
                     heapq.heappush(self.heap, (machine.frozen_until + late, number, machine, epoch, call))
                     continue
@@ -99,13 +99,13 @@
     def sleep(self, machine, span):
         task = greenlet.getcurrent()
         if task is self.hub:
-            raise RuntimeError("a callback must not wait")
+            raise RuntimeError("a callback must not block")
         self.at(span / machine.rate, machine, task.switch)
         self.hub.switch()
 
 
 class Event:
-    """The simulator's event: wait(timeout), set, clear."""
+    """The simulated threading.Event."""
 
     def __init__(self, loop, machine):
         self.loop, self.machine = loop, machine
@@ -128,7 +128,7 @@
             return True
         task, done = greenlet.getcurrent(), []
         if task is self.loop.hub:
-            raise RuntimeError("a callback must not wait")
+            raise RuntimeError("a callback must not block")
 
         def wake():
             if not done:
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -1,9 +1,8 @@
-"""The simulated network: records and HTTP between machines, with cuts.
+"""The simulated network: records and HTTP between machines, with partitions.
 
-Records are packed and unpacked as on a real wire and keep their order per pair
-of machines. HTTP calls run the real WSGI fronts. A cut is one-way between two
-machines; what is sent across one is lost. A dead machine refuses connections, a
-frozen one accepts them and says nothing, as a stopped process does.
+Records are packed and unpacked as on a real connection and stay in order between two machines. HTTP requests run
+the real WSGI fronts. A cut is one-way between two machines; what is sent across it is lost. A dead machine refuses
+connections; a frozen one accepts them and does not respond, like a stopped process.
 """
 
 import io
@@ -13,7 +12,7 @@
 import mothshed.http.web as web
 import mothshed.transport.records as records
 
-MIN_DELAY_S, DELAY_SPREAD_S = 0.0003, 0.0012  # s; a local network's delay
+MIN_DELAY_S, DELAY_SPREAD_S = 0.0003, 0.0012  # s; minimum and random part of the delay in a local network
 
 
 class Network:
@@ -24,10 +23,10 @@
         self.apps = {}  # HTTP address -> (Machine, WSGI app)
         self.cuts = set()  # (from name, to name)
         self.last_delivery = {}  # (from, to) -> time of the latest delivery
-        self.codecs = {}  # machine -> records.Codec, where it runs another release than the others
-        self.count = self.unknown_records = 0  # records sent; of a kind that their reader did not know
-        self.before_connect = lambda machine, path: None  # told of each connection about to be made
-        self.before_send = lambda machine, path: None  # and of each send past its last check
+        self.codecs = {}  # machine -> records.Codec, for machines of another release
+        self.count = self.unknown_records = 0  # records sent; received records of an unknown kind
+        self.before_connect = lambda machine, path: None  # called before each connection attempt
+        self.before_send = lambda machine, path: None  # called between the last check and the write of a request
 
     def cut(self, one, other, both=True):
         self.cuts |= {(one, other), (other, one)} if both else {(one, other)}
@@ -60,7 +59,7 @@
 
     def send(self, machine, sender, destination, kind, body):
         codec = self.codec_of(machine)
-        codec.check_fields(kind, body)  # what a record does not carry would be lost on the way
+        codec.check_fields(kind, body)  # rejects fields that the record cannot carry
         data = codec.pack(kind, body)
         other = self.machines.get(destination)
         if other is None or not machine.alive or not self.is_reachable(machine, other):
@@ -82,7 +81,7 @@
 
 
 class Channel:
-    """One HTTP exchange: pieces on their way to the client."""
+    """One HTTP exchange: the pieces of the response on their way to the client."""
 
     def __init__(self, net, client, server):
         self.net, self.client, self.server = net, client, server
@@ -90,9 +89,9 @@
         self.closed = False
 
     def push(self, piece):
-        """From the server's side; a client that hung up makes it fail, as a socket would."""
+        """Send a piece from the server; fails like a socket if the client has closed the connection."""
         if self.closed:
-            raise BrokenPipeError("client hung up")
+            raise BrokenPipeError("client closed the connection")
         if not self.net.is_reachable(self.server, self.client):
             return
 
@@ -179,7 +178,7 @@
         connect=constants.CONNECT_TIMEOUT_S,
         read=constants.STREAM_IDLE_TIMEOUT_S,
         ready=lambda: True,
-        cancellation=None,  # callers of a simulated router are not watched
+        cancellation=None,  # unused: disconnects of callers are not simulated
     ):
         net, loop, client = self.net, self.net.loop, self.machine
         address, path = url.removeprefix("http://").split("/", 1)
@@ -236,7 +235,7 @@
             channel.push(("end", None))
         except BrokenPipeError:
             pass
-        except Exception:  # a server closes the connection without the end
+        except Exception:  # a server that fails closes the connection early
             channel.reset()
         finally:
             if hasattr(rows, "close"):
--- a/tools/simulator/operator_client.py
+++ b/tools/simulator/operator_client.py
@@ -1,17 +1,17 @@
-"""The simulated operator: questions to the keepers and writes of configurations."""
+"""The simulated operator: requests to the keepers and configuration writes."""
 
 import tools.fleet as real_fleet
 import tools.simulator.network as network
 
 
 class OperatorClient:
-    """Calls the keepers of a simulated fleet from a machine that no fault touches."""
+    """Calls the keepers of a simulated fleet from a machine without faults."""
 
     def __init__(self, fleet, environment):
         self.fleet, self.environment = fleet, environment
 
     def ask(self, method, path, body=None, attempts=8):
-        """One operator's question to the keepers, tried until answered."""
+        """Send an operator's request to the keepers, with retries until one answers."""
         random = self.fleet.random
         for _attempt in range(attempts):
             url = f"http://{random.choice(self.fleet.http('keep'))}{path}"
@@ -30,7 +30,7 @@
         return 0, {}
 
     def apply(self, order_id, base=None, body=None, attempts=8):
-        """Writes a document; the end is recorded for the judge."""
+        """Write a configuration document; the outcome is recorded for the judge."""
         order_id += self.fleet.id_suffix
         if base is None:
             status, response_body = self.ask("GET", "/configuration")
--- a/tools/simulator/scenario_base.py
+++ b/tools/simulator/scenario_base.py
@@ -1,15 +1,14 @@
-"""Days: what goes wrong in one simulated run, each a line of the brief's "What fails".
+"""Scenarios: the faults of one simulated run, and helpers that schedule them.
 
-A day gets a ready fleet under load and schedules its faults from the fleet's own
-chance, so that a seed repeats it exactly. It returns the moment (seconds from
-now) by which everything is back; what is asked twelve seconds later must be
-served, and the judge's rules hold for the whole day.
+A scenario gets a ready fleet under load and schedules its faults by the fleet's own random numbers, so that a
+seed repeats it exactly. It returns the time (in seconds from now) at which all faults are over, or None. Requests
+sent at least twelve seconds later must be served; the rules of the judge hold during the whole run.
 """
 
 import tools.callers as callers
 
 SCENARIOS = {}
-FLEET_OPTIONS = {}  # day -> what its fleet has beside the usual, for SimFleet
+FLEET_OPTIONS = {}  # scenario -> arguments of SimFleet that differ from the defaults
 
 
 def scenario(call):
@@ -18,29 +17,29 @@
 
 
 def scenario_with_fleet(**shape):
-    """A day whose fleet has another shape than the usual one."""
+    """Register a scenario whose fleet is built with these arguments."""
 
-    def note(call):
+    def register(call):
         FLEET_OPTIONS[call.__name__] = shape
         return scenario(call)
 
-    return note
+    return register
 
 
-def companions(fleet):
-    """What goes on during every day: a change, a replica that leaves and comes back, a request of nobody's."""
+def schedule_common_events(fleet):
+    """Schedule what every run has: a write, a replica that leaves and returns, a request of an unknown tenant."""
     write(fleet, 3 + 4 * fleet.random.random(), "companion")
     name, at = (
         fleet.random.choice([n for n in fleet.names("replica") if n not in fleet.excluded_replicas]),
         4 + 4 * fleet.random.random(),
     )
 
-    def show(state):
+    def list_as(state):
         if name in fleet.list.past[-1][1]:
             fleet.list.change(name, {"state": state})
 
-    fleet.call_later(at, lambda: show("leaving"))
-    fleet.call_later(at + 5, lambda: show("ready"))
+    fleet.call_later(at, lambda: list_as("leaving"))
+    fleet.call_later(at + 5, lambda: list_as("ready"))
     call = {**callers.make(fleet.seed, "bad", ["nobody"]), "tenant": "nobody"}
     fleet.call_later(
         5,
@@ -53,7 +52,7 @@
 
 
 def expire_memory(fleet):
-    """All held memory lapses at once."""
+    """Let all exported memory that replicas hold expire now."""
     fleet.memory_may_expire = True
     for name in fleet.names("replica"):
         fleet.machines[name].mark_faulty(0.0)
@@ -68,15 +67,15 @@
 
 
 def freeze_at(fleet, hook, at=3, span=3.5):
-    """At the network's next such moment of a router's send it freezes, and the configuration changes meanwhile."""
+    """Freeze a router at its next send, in the network's callback `hook`, and change the configuration meanwhile."""
 
-    def seen(machine, path):
+    def freeze(machine, path):
         if machine.name.startswith("route") and path.startswith("v1/"):
             setattr(fleet.net, hook, lambda machine, path: None)
             machine.freeze(span)
             fleet.operator(lambda: fleet.apply("behind-its-back"))
 
-    fleet.call_later(at, lambda: setattr(fleet.net, hook, seen))
+    fleet.call_later(at, lambda: setattr(fleet.net, hook, freeze))
 
 
 def on_leader(fleet, at, act, part=0):
--- a/tools/simulator/scenarios.py
+++ b/tools/simulator/scenarios.py
@@ -1,4 +1,4 @@
-"""All days, gathered from their files."""
+"""The table of all scenarios."""
 
 import tools.simulator.scenario_base as scenario_base
 import tools.simulator.scenarios_cuts as scenarios_cuts
@@ -10,7 +10,7 @@
 import tools.simulator.scenarios_replicas as scenarios_replicas
 import tools.simulator.scenarios_rollouts as scenarios_rollouts
 
-# Each module adds its days to the table when it is imported.
+# Each module registers its scenarios when it is imported.
 MODULES = (
     scenarios_cuts,
     scenarios_disks,
--- a/tools/simulator/scenarios_cuts.py
+++ b/tools/simulator/scenarios_cuts.py
@@ -1,11 +1,11 @@
-"""Days on which the network is cut and configurations change, storm and race."""
+"""Scenarios with network partitions, bursts of configuration changes and concurrent changes."""
 
 import tools.simulator.scenario_base as base
 
 
 @base.scenario
 def router_loses_keepers(fleet):
-    """A router that still reaches the replicas hears no keeper while the configuration changes."""
+    """A router is cut from all keepers, not from the replicas, while the configuration changes."""
     name = fleet.random.choice(fleet.names("route"))
     at = 3 + fleet.random.random()
     fleet.call_later(at, lambda: fleet.net.split([name], fleet.names("keep")))
@@ -16,7 +16,7 @@
 
 @base.scenario
 def cut_after_staging(fleet):
-    """A router that acknowledged a staged document is cut off before it hears of its activation."""
+    """A router acknowledges a staged document and is cut from the keepers before the activation reaches it."""
     name = fleet.random.choice(fleet.names("route"))
     active = max(w["sequence"] for w in fleet.writes)
 
@@ -35,7 +35,7 @@
 
 @base.scenario
 def owner_dies_staging(fleet):
-    """The leader dies right after a write; a router just leased for long hears nothing of it."""
+    """The leader dies right after a write, while a router with a new long lease is cut from the keepers."""
     name = fleet.random.choice(fleet.names("route"))
     active = max(w["sequence"] for w in fleet.writes)
 
@@ -62,7 +62,7 @@
 
 @base.scenario
 def frozen_owner_with_company(fleet):
-    """The leader freezes and, with one router, is cut from the other keepers meanwhile."""
+    """The leader freezes; meanwhile it and one router are cut from the other keepers."""
     name = fleet.random.choice(fleet.names("route"))
     span = 4 + fleet.random.random()
 
@@ -71,19 +71,19 @@
         fleet.net.split([name, leader], [k for k in fleet.names("keep") if k != leader])
 
     base.on_leader(fleet, 3, act)
-    for n in range(5):
-        base.write(fleet, 4.4 + 0.1 * n, f"behind-its-back-{n}")
+    for number in range(5):
+        base.write(fleet, 4.4 + 0.1 * number, f"behind-its-back-{number}")
     fleet.call_later(3 + span + 2, fleet.net.heal)
     return 5 + span
 
 
 @base.scenario
 def owner_cut_off(fleet):
-    """The leader is cut from the other keepers, not from operators and routers, and written to."""
+    """The leader is cut from the other keepers; operators and routers still reach it, and operators write to it."""
     latest = max(w["sequence"] for w in fleet.writes)
     base.on_leader(fleet, 3, lambda name: fleet.net.split([name], [k for k in fleet.names("keep") if k != name]))
-    for n in range(4):
-        base.write(fleet, 3.01 + 0.05 * n, f"to-a-lost-leader-{n}", latest)
+    for number in range(4):
+        base.write(fleet, 3.01 + 0.05 * number, f"to-a-lost-leader-{number}", latest)
     fleet.call_later(7, fleet.net.heal)
     return 7
 
@@ -102,7 +102,7 @@
 
 
 def cut_one(fleet, name, cut):
-    """Cuts one machine off for four seconds, as cut(others) says, with a write right after."""
+    """Cut one machine from the others for four seconds by cut(others), with a write right after the cut."""
     others = [n for n in fleet.machines if n not in (name, "outside")]
     at = 3 + fleet.random.random()
     fleet.call_later(at, lambda: cut(others))
@@ -128,19 +128,19 @@
 
 @base.scenario
 def configuration_storm(fleet):
-    for n in range(25):
-        base.write(fleet, 3 + n * 0.12, f"storm-{n}")
+    for number in range(25):
+        base.write(fleet, 3 + number * 0.12, f"storm-{number}")
     return 7
 
 
 @base.scenario
 def configuration_race(fleet):
-    def race(n):
-        base = max(w["sequence"] for w in fleet.writes)
+    def race(number):
+        base_sequence = max(w["sequence"] for w in fleet.writes)
         for operator in "abc":
-            fleet.operator(lambda operator=operator: fleet.apply(f"race-{n}-{operator}", base))
+            fleet.operator(lambda operator=operator: fleet.apply(f"race-{number}-{operator}", base_sequence))
 
-    for n in range(4):
-        fleet.call_later(3 + n, lambda n=n: race(n))
+    for number in range(4):
+        fleet.call_later(3 + number, lambda number=number: race(number))
     base.on_leader(fleet, 4.0 + 0.01 * fleet.random.random(), base.kill_and_back(fleet))
     return 8
--- a/tools/simulator/scenarios_disks.py
+++ b/tools/simulator/scenarios_disks.py
@@ -1,42 +1,42 @@
-"""Days on which disks slow, fill, fail or are wiped, and keepers move."""
+"""Scenarios with slow, full, failing or wiped disks, and with keepers that change their address."""
 
 import tools.simulator.scenario_base as base
 
 
-def disk_day(fleet, hurt, mend, least=2.0):
-    box = []
+def run_disk_fault(fleet, inject, recover, min_span=2.0):
+    names = []
 
     def act(name):
-        box.append(name)
-        hurt(fleet.disks[name])
+        names.append(name)
+        inject(fleet.disks[name])
 
     base.on_leader(fleet, 3, act)
-    for n in range(8):
-        base.write(fleet, 2.95 + n * 0.5, f"disk-{n}")
-    fleet.call_later(3 + least, lambda: mend(fleet.disks[box[0]]))
-    fleet.call_later(5.5 + least, lambda: fleet.kill(box[0]))
-    fleet.call_later(6.5 + least, lambda: fleet.start(box[0]))
-    return 6.5 + least
+    for number in range(8):
+        base.write(fleet, 2.95 + number * 0.5, f"disk-{number}")
+    fleet.call_later(3 + min_span, lambda: recover(fleet.disks[names[0]]))
+    fleet.call_later(5.5 + min_span, lambda: fleet.kill(names[0]))
+    fleet.call_later(6.5 + min_span, lambda: fleet.start(names[0]))
+    return 6.5 + min_span
 
 
 @base.scenario
 def disk_slow(fleet):
-    return disk_day(fleet, lambda d: setattr(d, "delay", 0.05), lambda d: setattr(d, "delay", 0.0))
+    return run_disk_fault(fleet, lambda d: setattr(d, "delay", 0.05), lambda d: setattr(d, "delay", 0.0))
 
 
 @base.scenario
 def disk_stalls(fleet):
-    return disk_day(fleet, lambda d: setattr(d, "delay", 2.5), lambda d: setattr(d, "delay", 0.0))
+    return run_disk_fault(fleet, lambda d: setattr(d, "delay", 2.5), lambda d: setattr(d, "delay", 0.0))
 
 
 @base.scenario
 def disk_full(fleet):
-    return disk_day(fleet, lambda d: setattr(d, "full", True), lambda d: setattr(d, "full", False))
+    return run_disk_fault(fleet, lambda d: setattr(d, "full", True), lambda d: setattr(d, "full", False))
 
 
 @base.scenario
 def disk_sync_fails(fleet):
-    return disk_day(fleet, lambda d: setattr(d, "sync_fails", True), lambda d: setattr(d, "sync_fails", False))
+    return run_disk_fault(fleet, lambda d: setattr(d, "sync_fails", True), lambda d: setattr(d, "sync_fails", False))
 
 
 @base.scenario
@@ -60,7 +60,7 @@
 
 @base.scenario
 def wiped_and_cut(fleet):
-    """A follower that took part in an acknowledgement is wiped while the leader is cut off."""
+    """A follower that helped commit a write loses its disk while the leader is cut off."""
     count = len(fleet.writes)
 
     def watch():
@@ -81,7 +81,7 @@
     def slow_one():
         leader = fleet.leader() or "keep-1"
         late = fleet.random.choice([n for n in fleet.names("keep") if n != leader])
-        fleet.net.cut(leader, late)  # it misses the write
+        fleet.net.cut(leader, late)  # this follower does not receive the write
         fleet.operator(lambda: fleet.apply("then-wiped"))
 
     fleet.call_later(3, slow_one)
@@ -91,8 +91,8 @@
 
 @base.scenario
 def torn_tail(fleet):
-    for n in range(3):
-        base.write(fleet, 3 + n * 0.3, f"torn-{n}")
+    for number in range(3):
+        base.write(fleet, 3 + number * 0.3, f"torn-{number}")
     for name in fleet.names("keep"):
         base.restart_machine(fleet, name, 3 + fleet.random.random() * 0.9, 1.0)
     return 6
@@ -114,10 +114,12 @@
 
 @base.scenario
 def keepers_swapped(fleet):
-    """Each keeper goes for good; another machine takes its place."""
-    for n, name in enumerate(fleet.names("keep")):
-        at = 2 + 9 * n
-        fleet.call_later(at, lambda k=n: fleet.add_keeper(f"keep-new-{k + 1}", k, f"10.1.7.{k + 1}:70"))
+    """Each keeper in turn is lost for good and replaced by another machine."""
+    for number, name in enumerate(fleet.names("keep")):
+        at = 2 + 9 * number
+        fleet.call_later(
+            at, lambda number=number: fleet.add_keeper(f"keep-new-{number + 1}", number, f"10.1.7.{number + 1}:70")
+        )
         fleet.call_later(at + 1, lambda name=name: fleet.kill(name))
-        base.write(fleet, at + 6, f"swap-{n}")
+        base.write(fleet, at + 6, f"swap-{number}")
     return 2 + 9 * 3 + 1
--- a/tools/simulator/scenarios_processes.py
+++ b/tools/simulator/scenarios_processes.py
@@ -1,4 +1,4 @@
-"""Days on which processes and machines are killed, frozen or politely stopped."""
+"""Scenarios in which processes and machines are killed, frozen or stopped gracefully."""
 
 import tools.simulator.scenario_base as base
 
@@ -11,7 +11,7 @@
 
 @base.scenario
 def kill_router(fleet):
-    """A router dies in the middle of a prefill, with memory held in its name."""
+    """A router dies during a prefill, while replicas hold exported memory for its requests."""
     name = fleet.random.choice(fleet.names("route"))
 
     def watch():
@@ -61,9 +61,9 @@
 
 @base.scenario
 def freeze_in_connect(fleet):
-    """A router freezes while a send's connection is being made, and the configuration changes meanwhile.
+    """A router freezes while it connects for a send, and the configuration changes meanwhile.
 
-    The replicas do not know the header that bears a send's sequence: only the router's own check is left.
+    The replicas ignore the header with the configuration sequence, so only the router's own check is left.
     """
     for name in fleet.names("replica"):
         fleet.parts[name].refuses_older = False
@@ -82,9 +82,9 @@
 
 @base.scenario
 def polite_stops(fleet):
-    """Routers and the leading keeper are stopped politely, one after another."""
-    for n, name in enumerate(fleet.names("route")):
-        fleet.call_later(2 + 3 * n, lambda name=name: stop_router(fleet, name))
+    """Routers and the keeper that leads are stopped gracefully, one after another."""
+    for number, name in enumerate(fleet.names("route")):
+        fleet.call_later(2 + 3 * number, lambda name=name: stop_router(fleet, name))
     base.on_leader(fleet, 4, lambda name: stop_keeper(fleet, name))
     return 2 + 3 * len(fleet.names("route")) + 3
 
@@ -92,7 +92,7 @@
 def stop_router(fleet, name):
     def run():
         fleet.parts[name].drain(15.0)
-        fleet.net.apps.pop(fleet.settings[name]["http"])  # the server closes its door, then ends its answers
+        fleet.net.apps.pop(fleet.settings[name]["http"])  # the server stops listening, then completes its responses
         fleet.call_later(0.05, lambda: fleet.kill(name, planned=True))
         fleet.call_later(1.0, lambda: fleet.start(name))
 
@@ -110,10 +110,10 @@
 
 @base.scenario
 def anything(fleet):
-    """Five faults of any kind at any time."""
+    """Five random faults at random times."""
     keeps, routes, replicas = fleet.names("keep"), fleet.names("route"), fleet.names("replica")
     ends = [0.0]
-    for n in range(5):
+    for number in range(5):
         at, span = 1 + 8 * fleet.random.random(), 0.5 + 3 * fleet.random.random()
         kind = fleet.random.choice(["kill", "freeze", "cut", "crash", "write", "leader", "lapse"])
         if kind == "kill":
@@ -131,6 +131,6 @@
             base.on_leader(fleet, at, base.kill_and_back(fleet, span))
         elif kind == "lapse":
             fleet.call_later(at, lambda: base.expire_memory(fleet))
-        base.write(fleet, at + 0.2 * fleet.random.random() - 0.1, f"any-{n}")
+        base.write(fleet, at + 0.2 * fleet.random.random() - 0.1, f"any-{number}")
         ends.append(at + span)
     return max(ends) + 1
--- a/tools/simulator/scenarios_replicas.py
+++ b/tools/simulator/scenarios_replicas.py
@@ -1,4 +1,4 @@
-"""Days on which replicas fail, leave or are replaced, and traffic changes shape."""
+"""Scenarios in which replicas fail, leave or are replaced, or the traffic changes."""
 
 import mothshed.control_plane.parts as parts
 import tools.simulator.scenario_base as base
@@ -32,12 +32,12 @@
         at = 2 + 5 * number
         fleet.call_later(
             at,
-            lambda n=name, k=number: (
-                fleet.add_replica("replica-new-" + n, 20 + k),
-                fleet.list.change(n, {"name": n, "state": "leaving"}),
+            lambda name=name, number=number: (
+                fleet.add_replica("replica-new-" + name, 20 + number),
+                fleet.list.change(name, {"name": name, "state": "leaving"}),
             ),
         )
-        fleet.call_later(at + 4.5, lambda n=name: (fleet.kill(n, planned=True), fleet.list.change(n, None)))
+        fleet.call_later(at + 4.5, lambda name=name: (fleet.kill(name, planned=True), fleet.list.change(name, None)))
     return 2 + 5 * len(fleet.names("replica"))
 
 
@@ -71,11 +71,11 @@
 
 @base.scenario
 def order_owner_killed(fleet):
-    """The node that orders the replicas is killed while one replica keeps losing its role."""
+    """The leader that assigns roles is killed while one replica keeps losing its role."""
     part = parts.part_of(fleet.plan["model"])
     name = fleet.random.choice(fleet.names("replica"))
-    for n in range(8):
-        base.restart_machine(fleet, name, 2.5 + 1.3 * n, 0.1)
+    for number in range(8):
+        base.restart_machine(fleet, name, 2.5 + 1.3 * number, 0.1)
     for at in (4.0, 8.0):
         base.on_leader(fleet, at + fleet.random.random() * 1.5, base.kill_and_back(fleet, 1.0), part)
     return 14
@@ -83,9 +83,9 @@
 
 @base.scenario
 def replica_answers_broken(fleet):
-    """Bodies that are short, handles missing or foreign, streams cut, errors after a 200."""
-    for n, fault in enumerate(["short_body", "no_handle", "foreign_handle", "cut_after", "error_after"]):
-        at = 2 + 1.5 * n
+    """Replicas return short bodies, missing or foreign handles, truncated streams and errors after a 200."""
+    for number, fault in enumerate(["short_body", "no_handle", "foreign_handle", "cut_after", "error_after"]):
+        at = 2 + 1.5 * number
         fleet.call_later(
             at, lambda fault=fault: [fleet.parts[r].fault.update({fault: 1}) for r in fleet.names("replica")]
         )
@@ -97,7 +97,7 @@
 
 @base.scenario
 def replicas_bounce(fleet):
-    """The decode side bounces nearly everything for a while."""
+    """The decode replicas reject nearly everything for five seconds."""
     fleet.call_later(3, lambda: [fleet.parts[n].fault.update(bounce="decode") for n in fleet.names("replica")])
     fleet.call_later(8, lambda: [fleet.parts[n].fault.pop("bounce", None) for n in fleet.names("replica")])
     return 8
@@ -111,7 +111,7 @@
 
 @base.scenario
 def tenant_rush(fleet):
-    """One tenant asks for far more than the replicas can do."""
+    """One tenant's load far exceeds the capacity of the replicas."""
     fleet.call_later(3, lambda: fleet.load(260, 5, seed=f"{fleet.seed}-rush", tenants=fleet.plan["tenants"][:1]))
     return 14
 
--- a/tools/simulator/volatile_folder.py
+++ b/tools/simulator/volatile_folder.py
@@ -1,11 +1,10 @@
-"""A folder in memory that can lose power between any two calls.
-
-It has the interface of mothshed.storage.folder.Folder. What a loss of power leaves:
-a file holds what its last fsync covered; each later write is present, absent or
-torn by itself, or all of them are gone. A new file lasts once it is itself synced;
-a name renamed or removed lasts once the folder has been synced, and until then
-each such change is kept or lost by itself. After a failed fsync the writes that it
-should have covered stay visible, but no later fsync makes them durable.
+"""An in-memory folder that can lose power between any two calls.
+
+It has the interface of mothshed.storage.folder.Folder. After a loss of power, a file holds what its last fsync
+covered; later writes are each present, absent or torn, or all of them are gone. A new file persists once it has
+been synced itself; a rename or removal persists once the folder has been synced, and until then each such change is
+kept or lost independently. After a failed fsync the writes that it should have covered stay visible, but no later
+fsync makes them durable.
 """
 
 import dataclasses
@@ -15,16 +14,16 @@
 
 @dataclasses.dataclass
 class Write:
-    """One write that no fsync has covered yet."""
+    """A write that no fsync has covered yet."""
 
     at: int
     data: bytes
-    abandoned: bool = False  # an fsync failed: later ones do not cover it
+    abandoned: bool = False  # its fsync failed; later ones do not cover it
 
 
 @dataclasses.dataclass
 class File:
-    """A file's content as programs see it, and what of it is durable."""
+    """A file: its visible content, its durable content and the writes in between."""
 
     content: bytes = b""
     durable: bytes = b""
@@ -33,7 +32,7 @@
 
 @dataclasses.dataclass
 class NameChange:
-    """A name made, renamed or removed that no sync of the folder has covered yet."""
+    """A created, renamed or removed name that no sync of the folder has covered yet."""
 
     kind: str  # "create", "rename" or "remove"
     name: str
@@ -42,17 +41,17 @@
 
 
 class PowerLost(Exception):
-    """Raised out of a call at which a test cuts the power. Not an OSError: no program can catch it."""
+    """Raised by a call at which a test cuts the power. Not an OSError, so the code under test does not handle it."""
 
 
 def place(content, at, data):
-    """The content with data written at an offset; a gap before it reads as zeros."""
+    """Return the content with data written at an offset; a gap before it is filled with zeros."""
     content = content.ljust(at, b"\0")
     return content[:at] + data + content[at + len(data) :]
 
 
 def torn(data):
-    """Some ways in which a write may have been cut short: heads, tails, and one in the middle missing."""
+    """Yield some torn forms of a write: only a head, only a tail, or the middle missing."""
     size = len(data)
     cuts = sorted({1, size // 3, size // 2, size - 1} & set(range(1, size)))
     for cut in cuts:
@@ -64,7 +63,7 @@
 
 
 def versions(file):
-    """Every content that a loss of power may leave of a file, with a few kinds of torn writes."""
+    """Return the contents that a loss of power may leave of a file, with some torn forms of each write."""
     choices = [[None, write.data, *torn(write.data)] for write in file.pending]
     found = set()
     for parts in itertools.product(*choices):
@@ -77,38 +76,38 @@
 
 
 class VolatileFolder:
-    """The files of one folder, what of them is durable, and which changes are not yet."""
+    """The files of one folder, their durable state and the changes that are not yet durable."""
 
     def __init__(self, path=""):
         self.path = path
-        self.current, self.lasting = {}, {}  # name -> File: as programs see it / after a loss of power
+        self.current, self.durable_names = {}, {}  # name -> File: visible / after a loss of power
         self.changes = []  # NameChange, oldest first
-        self.room = None  # bytes that may still be written; None: no limit
-        self.before_step = lambda step, name: None  # called before each call that changes anything
+        self.room = None  # bytes that may still be written; None for no limit
+        self.before_step = lambda step, name: None  # called before each change
 
     def names(self):
-        """The names of all files, sorted."""
+        """Return the sorted names of all files."""
         return sorted(self.current)
 
     def read(self, name):
-        """The content of a file; empty bytes if there is none."""
+        """Return the content of a file, or empty bytes if it does not exist."""
         return self.current[name].content if name in self.current else b""
 
     def create(self, name):
-        """A new, empty file of this name."""
+        """Create an empty file."""
         self.before_step("create", name)
         file = self.current[name] = File()
         self.changes.append(NameChange("create", name, file))
         return file
 
     def open(self, name):
-        """A handle that appends to a file, which must exist."""
+        """Return a handle that appends to an existing file."""
         if name not in self.current:
             raise FileNotFoundError(errno.ENOENT, name)
         return self.current[name]
 
     def write(self, file, data):
-        """Appends what there is room for, and says how many bytes."""
+        """Append as much as there is room for; return the number of bytes."""
         self.before_step("write", self.name_of(file))
         if self.room is not None:
             data = data[: self.room]
@@ -120,7 +119,7 @@
         return len(data)
 
     def fsync(self, file):
-        """Makes a file's content and the making of its name durable."""
+        """Make the content of a file and the creation of its name durable."""
         try:
             self.before_step("fsync", self.name_of(file))
         except OSError:
@@ -132,41 +131,41 @@
                 file.durable = place(file.durable, write.at, write.data)
         file.pending = [write for write in file.pending if write.abandoned]
         if not file.pending:
-            file.durable = file.content  # equal; one copy in memory
+            file.durable = file.content  # equal contents: keep one copy in memory
         for change in self.changes:
             if change.file is file and change.kind == "create":
-                self.lasting[change.name] = file
+                self.durable_names[change.name] = file
         self.changes = [c for c in self.changes if not (c.file is file and c.kind == "create")]
 
     def close(self, file):
-        """Does nothing: a handle is the file."""
+        """Do nothing: the handle is the file itself."""
         pass
 
     def rename(self, name, new_name):
-        """Puts a file in the place of any that had the new name."""
+        """Rename a file; it replaces any file with the new name."""
         self.before_step("rename", new_name)
         file = self.current[new_name] = self.current.pop(name)
         self.changes.append(NameChange("rename", name, file, new_name))
 
     def remove(self, name):
-        """Removes a file, if there is one."""
+        """Remove a file, if it exists."""
         self.before_step("remove", name)
         if name in self.current:
             self.changes.append(NameChange("remove", name, self.current.pop(name)))
 
     def sync_directory(self):
-        """Makes all changes of names durable."""
+        """Make all changes of names durable."""
         self.before_step("sync_directory", "")
-        self.lasting = self.names_with(self.changes)
+        self.durable_names = self.names_with(self.changes)
         self.changes = []
 
     def name_of(self, file):
-        """The present name of a file, for those who watch the calls."""
+        """Return the current name of a file, for before_step."""
         return next((name for name, other in self.current.items() if other is file), "")
 
     def names_with(self, kept):
-        """The lasting names once these changes of names have been kept."""
-        names = dict(self.lasting)
+        """Return the durable names if these changes of names are kept."""
+        names = dict(self.durable_names)
         for change in kept:
             if change.kind != "create" and names.get(change.name) is change.file:
                 del names[change.name]
@@ -175,23 +174,23 @@
         return names
 
     def outcomes(self):
-        """Every state, as {name: content}, that a loss of power at this moment may leave."""
+        """Yield every state, as {name: content}, that a loss of power now may leave."""
         for kept in itertools.product([False, True], repeat=len(self.changes)):
             names = self.names_with(itertools.compress(self.changes, kept))
             for contents in itertools.product(*(versions(file) for file in names.values())):
                 yield dict(zip(names, contents, strict=True))
 
     def lose_power(self, random):
-        """Takes one of the states that a loss of power may leave; `random` chooses it."""
+        """Switch to a random one of the states that a loss of power may leave."""
         kept = [change for change in self.changes if random.random() < 0.5]
-        nothing_pending_lasts = random.random() < 0.2
+        pending_is_lost = random.random() < 0.2
         state = {}
         for name, file in self.names_with(kept).items():
-            state[name] = file.durable if nothing_pending_lasts else self.some_version(file, random)
+            state[name] = file.durable if pending_is_lost else self.random_version(file, random)
         self.restore(state)
 
-    def some_version(self, file, random):
-        """One content that a loss of power may leave of a file."""
+    def random_version(self, file, random):
+        """Return a random content that a loss of power may leave of a file."""
         content = file.durable
         for write in file.pending:
             head = write.data[: random.randrange(len(write.data) + 1)]
@@ -200,11 +199,11 @@
         return content
 
     def restore(self, state):
-        """Takes this state, {name: content}, all of it durable."""
+        """Replace all files by this state, {name: content}, all of it durable."""
         self.current = {name: File(content, content) for name, content in state.items()}
-        self.lasting = dict(self.current)
+        self.durable_names = dict(self.current)
         self.changes = []
 
     def durable_state(self):
-        """What a loss of power leaves when nothing unsynced is kept."""
-        return {name: file.durable for name, file in self.lasting.items()}
+        """Return the state after a loss of power in which nothing unsynced is kept."""
+        return {name: file.durable for name, file in self.durable_names.items()}
--- a/tools/weakened.py
+++ b/tools/weakened.py
@@ -1,4 +1,4 @@
-"""Each protection's weakened form, put in its place while `tools.protections` plays its day."""
+"""Weakened forms of the protections, which `tools.protections` patches in during a scenario."""
 
 import contextlib
 import unittest.mock
@@ -17,13 +17,13 @@
 
 
 def patch(target, **changes):
-    """A patch of several attributes of one leader."""
+    """Return a callable that creates a patch of several attributes of a target."""
     return lambda: unittest.mock.patch.multiple(target, **changes)
 
 
 @contextlib.contextmanager
 def write_after_error():
-    """Member, log and disk all take a write after one that failed, in the same file."""
+    """Let member, log and disk continue to write a file after a failed write."""
     with (
         unittest.mock.patch.object(member.Member, "fail_disk", lambda self, e: None),
         unittest.mock.patch.object(
@@ -37,12 +37,12 @@
 def allow_unsafe_retries(self, failure):
     if self.chart.state == "relaying":
         raise verdict.StreamInterrupted(str(failure)) from failure
-    if self.environment.now() >= self.request.cutoff:  # or it would go round without end
+    if self.environment.now() >= self.request.cutoff:  # otherwise it would retry forever
         self.raise_final_failure()
 
 
 def commit_without_majority(self):
-    """Commits what the leader alone has written."""
+    """Commit what only the leader has written."""
     if self.log.last > self.commit_index:
         self.commit_index = self.log.last
         self.apply_all()
@@ -88,7 +88,7 @@
 
 
 def reject_every_third(self):
-    """A router that rejects every third request without need."""
+    """Reject every third request although there is capacity."""
     COUNTED.append(None)
     if len(COUNTED) % 3 == 0:
         self.chart.step("bounce")
@@ -97,7 +97,7 @@
 
 
 def ignore_other_parts(self, selector):
-    """Each part plans for its own replicas as if they were the pool."""
+    """Let each part plan for its own replicas as if they were the whole pool."""
     own, others, rank = ORIGINAL_POOL_REPLICAS(self, selector)
     return own, {}, 0
 
@@ -109,7 +109,7 @@
 
 
 def next_in_arrival_order(self):
-    """One queue for all tenants, in the order of arrival."""
+    """Serve one queue for all tenants in the order of arrival."""
     rows = [t for q in self.queues.values() for t in q]
     return min(rows, key=lambda t: t.born, default=None)
 
@@ -121,7 +121,7 @@
 
 
 def serve_in_arrival_order():
-    """All queues as one, unbounded per tenant, as a plain queue would be."""
+    """Replace the queues per tenant by one queue without a limit per tenant."""
     stack = contextlib.ExitStack()
     stack.enter_context(patch(admission.Admission, next_entry=next_in_arrival_order)())
     stack.enter_context(patch(admission.QueueEntry, __init__=init_numbered_entry)())
@@ -137,7 +137,7 @@
 
 
 def accept_truncated_streams(self):
-    """A stream whose end is taken for whole wherever it is cut."""
+    """Treat a truncated stream as complete."""
     rows = []
     try:
         for row in ORIGINAL_ITER(self):
