--- a/mothshed/runtime/journal.py
+++ b/mothshed/runtime/journal.py
@@ -1,14 +1,13 @@
-"""A journal in memory and the views folded from it.
+"""An in-memory event journal and the views derived from it.
 
-Inside a process what happened is appended as an event, and everything that
-decisions read is a view folded from those events in order. The journal keeps
-the latest events, which the log buffer writes out when something goes wrong; views
-keep what they folded.
+Events in a process are appended to its journal, and the state that decisions read is
+a view that folds these events in order. The journal keeps only the latest events, which
+the log buffer writes out after a failure; views keep their state.
 
->>> j = Journal()
->>> v = j.view(Count())
->>> j.add("sent", n=2); j.add("sent", n=1)
->>> v.sent
+>>> journal = Journal()
+>>> view = journal.view(SumView())
+>>> journal.add("sent", n=2); journal.add("sent", n=1)
+>>> view.sent
 3
 """
 
@@ -19,8 +18,8 @@
 import mothshed.constants as constants
 
 
-class Count:
-    """The doctest's view: adds up what was sent."""
+class SumView:
+    """A view for the doctest: the sum of `n` over all events."""
 
     def __init__(self):
         self.sent = 0
@@ -34,7 +33,7 @@
         self.now = now
         self.events = collections.deque(maxlen=constants.MAX_JOURNAL_EVENTS)
         self.views = []
-        self.given = None  # the last event handed out by fresh()
+        self.last_returned = None  # the last event returned by unwritten_events()
         self.lock = threading.RLock()
 
     def view(self, view):
@@ -48,16 +47,16 @@
             for view in self.views:
                 view.fold(kind, event)
 
-    def fresh(self):
-        """The events not handed out before, oldest first: [(kind, event)]."""
+    def unwritten_events(self):
+        """Return the events that no earlier call returned, oldest first: [(kind, event)]."""
         with self.lock:
-            rows = list(itertools.takewhile(lambda row: row is not self.given, reversed(self.events)))
-            self.given = rows[0] if rows else self.given
+            rows = list(itertools.takewhile(lambda row: row is not self.last_returned, reversed(self.events)))
+            self.last_returned = rows[0] if rows else self.last_returned
         return rows[::-1]
 
 
 class Totals:
-    """Counters for the metrics page: one per event kind and outcome."""
+    """Counters for the metrics page: one per event kind, and one per kind and outcome."""
 
     def __init__(self):
         self.counts = collections.Counter()
@@ -67,7 +66,7 @@
         if "outcome" in event:
             self.counts[f"{kind}_{event['outcome']}"] += 1
 
-    def text(self, figures):
-        """The page: each counter, and what the process holds now (name -> number)."""
+    def text(self, gauges):
+        """Return the metrics page: all counters and the gauges of the process (name -> value)."""
         counted = "".join(f"mothshed_{name}_total {count}\n" for name, count in sorted(self.counts.items()))
-        return counted + "".join(f"mothshed_process_{name} {value}\n" for name, value in sorted(figures.items()))
+        return counted + "".join(f"mothshed_process_{name} {value}\n" for name, value in sorted(gauges.items()))
--- a/tools/simulator/network.py
+++ b/tools/simulator/network.py
@@ -9,7 +9,7 @@
 import json
 
 import mothshed.constants as constants
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import mothshed.transport.records as records
 
 MIN_DELAY_S, DELAY_SPREAD_S = 0.0003, 0.0012  # s; minimum and random part of the delay in a local network
@@ -117,10 +117,10 @@
         if not self.channel.pieces:
             self.event.clear()
             if not self.event.wait(self.read):
-                raise web.WebFault("ReadTimeoutError", True)
+                raise http_client.ExchangeError("ReadTimeoutError", True)
         kind, data = self.channel.pieces.pop(0)
         if kind == "reset":
-            raise web.WebFault("ProtocolError: reset", True)
+            raise http_client.ExchangeError("ProtocolError: reset", True)
         return kind, data
 
     def bytes(self):
@@ -129,7 +129,7 @@
             kind, data = self.pull()
             if kind == "end":
                 if self.size is not None and received != self.size:
-                    raise web.WebFault("IncompleteRead", True)
+                    raise http_client.ExchangeError("IncompleteRead", True)
                 return
             received += len(data)
             yield data
@@ -138,7 +138,7 @@
         try:
             return json.loads(b"".join(self.bytes()))
         except ValueError as e:
-            raise web.WebFault(f"body: {e}", True) from e
+            raise http_client.ExchangeError(f"body: {e}", True) from e
         finally:
             self.close()
 
@@ -150,7 +150,7 @@
                 *whole, rest = rest.split(b"\n")
                 yield from whole
             if rest:
-                raise web.WebFault("stream ends within a line", True)
+                raise http_client.ExchangeError("stream ends within a line", True)
         finally:
             self.close()
 
@@ -186,14 +186,14 @@
         other = found[0] if found else None
         if other and not (net.is_reachable(client, other) and net.is_reachable(other, client)):
             loop.sleep(client, connect)
-            raise web.WebFault("ConnectTimeoutError", False)
+            raise http_client.ExchangeError("ConnectTimeoutError", False)
         net.before_connect(client, path)
         loop.sleep(client, MIN_DELAY_S + loop.random.random() * DELAY_SPREAD_S)
         found = net.apps.get(address)
         if not found or not found[0].alive:
-            raise web.WebFault("NewConnectionError", False)
+            raise http_client.ExchangeError("NewConnectionError", False)
         if not ready():
-            raise web.WebFault(web.NOT_READY, False)
+            raise http_client.ExchangeError(http_client.NOT_READY, False)
         self.net.before_send(client, path)
         other, app = found
         channel, event = Channel(net, client, other), self.new_event()
