--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -45,11 +45,11 @@
         for line in lines(router, 400, data):
             stack.enter_context(line)
         rows = [
-            callers.send(
+            callers.send_call(
                 environment_module.Tasks(),
                 router,
                 "shift-notes",
-                callers.make("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
+                callers.make_call("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
             )
             for n in range(3)
         ]
--- a/tests/test_ids.py
+++ b/tests/test_ids.py
@@ -15,11 +15,11 @@
     fleet.run(1)
     routers = [fleet.settings[n]["http"] for n in ("route-1", "route-2")]
     for n in range(count):
-        call = {**callers.make(n, n, ["dispatch"]), "id": "same", "safe": False, "stream": True, "tokens": 12}
+        call = {**callers.make_call(n, n, ["dispatch"]), "id": "same", "safe": False, "stream": True, "tokens": 12}
         fleet.later(
             n * gap_s,
             lambda n=n, call=call: fleet.operator(
-                lambda: fleet.rows.append(callers.send(fleet.ops, routers[n // 2 % 2], "shift-notes", call))
+                lambda: fleet.rows.append(callers.send_call(fleet.ops, routers[n // 2 % 2], "shift-notes", call))
             ),
         )
     fleet.run(count * gap_s + 6)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -230,8 +230,8 @@
                 assert memory.free(memory.engine, "q") == held and "q" not in memory.held
                 alive = False
             elif act == "lapse":
-                memory.test_environment.time += replica_memory.HOLD + 1
-                memory.lapse()
+                memory.test_environment.time += replica_memory.HOLD_S + 1
+                memory.expire_held()
                 alive = False
             elif act == "again":  # a second export of the same request invalidates the first handle
                 memory.export("q", "second prompt")
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -11,17 +11,17 @@
 def test_sigterm_lets_streams_end_and_bounces_the_rest(tmp_path):
     with fleets.serving(tmp_path, 2, 2) as fleet:
         environment, router, rows = environment_module.Tasks(), fleet.settings["route-1"]["http"], []
-        call = {**callers.make(1, 1, ["dispatch"]), "tokens": 150, "stream": True, "kind": "question"}
+        call = {**callers.make_call(1, 1, ["dispatch"]), "tokens": 150, "stream": True, "kind": "question"}
 
         def send():
-            rows.append(callers.send(environment, router, "shift-notes", call))
+            rows.append(callers.send_call(environment, router, "shift-notes", call))
 
         thread = threading.Thread(target=send)
         thread.start()
         fleet.wait_http(router, "/condition", lambda c: c["flight"] == 1)
         fleet.signal("route-1", signal.SIGTERM)
         while True:  # from here on it bounces, or its door is closed
-            late = callers.send(environment, router, "shift-notes", {**call, "id": "late", "tokens": 1})
+            late = callers.send_call(environment, router, "shift-notes", {**call, "id": "late", "tokens": 1})
             if late["status"] != 200:
                 break
             call = {**call, "id": call["id"] + "x"}
--- a/tools/callers.py
+++ b/tools/callers.py
@@ -1,9 +1,8 @@
-"""Stand-in user agents: the three kinds of request, sent by zone, all recorded.
+"""Stand-in user agents: send the three kinds of request by zone and record every attempt.
 
-Each call leaves one row in the history: what was sent, when, what came back and
-when. A refused connection or a 503 may be tried once at another router after
-Retry-After, as the row says; an unsafe request is never repeated on anything
-else.
+Each attempt adds one row to the history: what was sent, when, what was received and
+when. A call is sent again at once after a refused connection and after Retry-After
+for a 503, to a random router of its zone; nothing else is repeated.
 """
 
 import json
@@ -12,7 +11,7 @@
 import mothshed.http.web as web
 import tools.replica_memory as replica_memory
 
-SHARED = {
+SHARED_PREFIXES = {
     "dispatch": "Depot rules and the shift's scooters. ",
     "repair": "Fault catalogue of the workshop. ",
     "riders": "How damage is reported. ",
@@ -20,7 +19,7 @@
     "counter": "Pickup rules. ",
     "assistant": "Order states. ",
 }
-# kind: (share of the traffic, own characters, shared characters, tokens, safe, streamed)
+# kind: (share of the traffic, characters of its own, characters of the shared prefix, tokens, safe, streamed)
 KINDS = {
     "summary": (0.3, 2600, 2048, 24, False, True),
     "question": (0.4, 300, 1024, 16, False, True),
@@ -28,28 +27,28 @@
 }
 
 
-def make(seed, number, tenants, kinds=KINDS, sites=1):
-    """Request number `number` of a load: always the same for the same seed."""
-    chance = random.Random(f"{seed}/{number}")
-    tenant = chance.choice(tenants)
-    kind = chance.choices(list(kinds), [k[0] for k in kinds.values()])[0]
-    share, own, shared, tokens, safe, stream = kinds[kind]
-    site = chance.randrange(sites) if sites > 1 else 0  # each site shares a prefix of its own
-    head = (f"site {site}: " + SHARED.get(tenant, tenant + " ") * 200)[:shared]
-    tail = "".join(chance.choice("abcdefghij ") for _ in range(own))
+def make_call(seed, number, tenants, kinds=KINDS, sites=1):
+    """Make request number `number` of a load; deterministic for a given seed."""
+    rng = random.Random(f"{seed}/{number}")
+    tenant = rng.choice(tenants)
+    kind = rng.choices(list(kinds), [share for share, *_ in kinds.values()])[0]
+    share, own_chars, shared_chars, tokens, safe, stream = kinds[kind]
+    site = rng.randrange(sites) if sites > 1 else 0  # requests of one site share a prefix
+    shared_prefix = (f"site {site}: " + SHARED_PREFIXES.get(tenant, tenant + " ") * 200)[:shared_chars]
+    own_text = "".join(rng.choice("abcdefghij ") for _ in range(own_chars))
     return {
         "id": f"q{seed}-{number}",
         "tenant": tenant,
         "kind": kind,
         "safe": safe,
         "stream": stream,
-        "prompt": head + tail,
+        "prompt": shared_prefix + own_text,
         "tokens": tokens,
     }
 
 
-def send(environment, router, model, call):
-    """One send to one router; returns the row of what came back."""
+def send_call(environment, router, model, call):
+    """Send a call once to one router; returns the history row of the outcome."""
     headers = {
         "x-request-id": call["id"],
         "x-tenant": call["tenant"],
@@ -75,90 +74,90 @@
     }
     try:
         response = environment.web.send("POST", f"http://{router}/v1/completions", body, headers, read=12)
-    except web.WebFault as e:
-        row.update(end="lost" if e.sent else "refused", done=environment.now(), error=str(e))
+    except web.WebFault as error:
+        row.update(end="lost" if error.sent else "refused", done=environment.now(), error=str(error))
         return row
     row["status"] = response.status
     try:
-        read(environment, response, row, call["stream"])
-    except (web.WebFault, ValueError, KeyError) as e:
-        row.update(end="broken", error=f"{type(e).__name__}: {e}")
+        read_response(environment, response, row, call["stream"])
+    except (web.WebFault, ValueError, KeyError) as error:
+        row.update(end="broken", error=f"{type(error).__name__}: {error}")
     finally:
         response.close()
     row["done"] = environment.now()
     return row
 
 
-def read(environment, response, row, stream):
+def read_response(environment, response, row, stream):
     if response.status != 200 or not stream:
-        said = response.body()
+        answer = response.body()
         if response.status == 200:
-            row.update(text=said["choices"][0]["text"], end="whole", first=environment.now(), answer=said["id"])
+            row.update(text=answer["choices"][0]["text"], end="whole", first=environment.now(), answer=answer["id"])
         else:
             row.update(
                 end="answered",
-                verdict=said["error"]["verdict"],
-                error=said["error"]["message"],
+                verdict=answer["error"]["verdict"],
+                error=answer["error"]["message"],
                 retry=response.headers.get("retry-after"),
             )
         return
-    done, finish = False, None
+    saw_done, finish_reason = False, None
     for line in response.lines():
         if not line.strip():
             continue
         row["first"] = row["first"] or environment.now()
         if line == b"data: [DONE]":
-            done = True
+            saw_done = True
             continue
-        said = json.loads(line[6:])
-        row["text"] += said["choices"][0]["text"]
-        row["answer"], finish = said["id"], said["choices"][0]["finish_reason"]
-    row["end"] = "whole" if done and finish else "broken"
+        answer = json.loads(line[6:])
+        row["text"] += answer["choices"][0]["text"]
+        row["answer"], finish_reason = answer["id"], answer["choices"][0]["finish_reason"]
+    row["end"] = "whole" if saw_done and finish_reason else "broken"
 
 
 def traffic(seed, tenants, rate, seconds, kinds=KINDS, sites=1):
-    """A recorded load: (moment from the start, call), the same for the same seed."""
-    chance, at, rows = random.Random(seed), 0.0, []
+    """Generate a load as [(seconds from the start, call)]; deterministic for a given seed."""
+    rng, at, calls = random.Random(seed), 0.0, []
     while True:
-        at += chance.expovariate(rate)
+        at += rng.expovariate(rate)
         if at > seconds:
-            return rows
-        rows.append((at, make(seed, len(rows), tenants, kinds, sites)))
+            return calls
+        calls.append((at, make_call(seed, len(calls), tenants, kinds, sites)))
 
 
 class Load:
-    """A bounded open load: calls start at their moments whatever becomes of earlier ones."""
+    """A bounded open-loop load: each call starts at its time, regardless of earlier calls."""
 
-    def __init__(self, environment, seed, routers, model, calls, tries=3):
+    def __init__(self, environment, seed, routers, model, calls, max_attempts=3):
         self.environment = environment
-        self.seed, self.routers, self.model, self.calls, self.tries = seed, routers, model, calls, tries
-        self.rows, self.begun, self.ended = [], 0, []
+        self.seed, self.routers, self.model, self.calls, self.max_attempts = seed, routers, model, calls, max_attempts
+        self.rows, self.started, self.finished = [], 0, []
 
     def run(self):
         start = self.environment.now()
         for number, (at, call) in enumerate(self.calls):
             self.environment.sleep(max(0, start + at - self.environment.now()))
-            self.begun += 1
+            self.started += 1
             self.environment.spawn(lambda number=number, call=call: self.call(number, call))
-        most = self.environment.now() + 30
-        while len(self.ended) < self.begun and self.environment.now() < most:
+        deadline = self.environment.now() + 30
+        while len(self.finished) < self.started and self.environment.now() < deadline:
             self.environment.sleep(0.05)
         return self.rows
 
     def call(self, number, call):
         try:
-            self.turns(call, random.Random(f"{self.seed}/{number}/router"))
+            self.send_with_retries(call, random.Random(f"{self.seed}/{number}/router"))
         finally:
-            self.ended.append(number)
+            self.finished.append(number)
 
-    def turns(self, call, chance):
-        zone = chance.choice(list(self.routers))
-        for turn in range(self.tries):
-            row = send(self.environment, chance.choice(self.routers[zone]), self.model, call)
-            row["turn"] = turn
+    def send_with_retries(self, call, rng):
+        zone = rng.choice(list(self.routers))
+        for attempt in range(self.max_attempts):
+            row = send_call(self.environment, rng.choice(self.routers[zone]), self.model, call)
+            row["turn"] = attempt
             self.rows.append(row)
             if row["end"] == "refused":
                 continue
-            if row["status"] != 503 or turn == self.tries - 1:
+            if row["status"] != 503 or attempt == self.max_attempts - 1:
                 return
             self.environment.sleep(float(row["retry"] or 1))
--- a/tools/replica_memory.py
+++ b/tools/replica_memory.py
@@ -1,8 +1,8 @@
-"""The stand-in replica's model: held blocks, cache, slots, runs on record.
+"""The state of a stand-in replica: held KV blocks, prefix cache, slots and the ledger of its runs.
 
-No HTTP here. Every run, pull, free, lapse and order is written to a ledger (JSON
-lines, flushed at once) under CLOCK_BOOTTIME, so that the checker can judge what
-ran, how often, from which memory, and what was left held.
+This module has no HTTP. Every run, pull, free, lapse and order is written to a ledger
+(JSON lines, flushed at once) with CLOCK_BOOTTIME, so that the checker can verify what
+ran, how often, from which memory, and what is still held.
 """
 
 import collections
@@ -12,14 +12,14 @@
 
 import mothshed.replicas.replica_adapter as replica_adapter
 
-HOLD = 12.0  # s; exported memory nobody took lapses after this
+HOLD_S = 12.0  # exported memory that was not freed expires after this
 SLOTS = {"prefill": 4, "decode": 8, "none": 4}
-QUEUE = 12  # requests that may wait beyond the slots
-READ_SPEED = 24000.0  # prompt characters a second
-WRITE_SPEED = 90.0  # tokens a second for one stream
-OLDER = 0.25  # s; sends under an older sequence are refused this long after a newer one
-WAIT_BEAT = 0.004  # s; a waiting request looks for a slot this often
-CACHE_KEYS = 256  # prefix blocks kept in the cache
+QUEUE_LENGTH = 12  # requests that may wait for a slot
+PREFILL_CHARS_PER_S = 24000.0  # speed of prefill
+DECODE_TOKENS_PER_S = 90.0  # speed of one decode stream
+OLDER_SEQUENCE_GRACE_S = 0.25  # an older configuration sequence is rejected from this long after a newer one was seen
+SLOT_POLL_INTERVAL_S = 0.004  # how often a waiting request checks for a free slot
+CACHE_BLOCKS = 256  # prefix blocks kept in the cache
 
 
 def digest_of(prompt):
@@ -40,8 +40,8 @@
                 self.file.write(json.dumps(row) + "\n")
 
 
-class Full(Exception):
-    """No slot and no room to wait: bounced before anything ran."""
+class QueueFull(Exception):
+    """No slot and no room in the queue: rejected before anything ran."""
 
 
 class Memory:
@@ -50,16 +50,16 @@
         self.engine = f"{name}-{self.token()}"
         self.ledger = ledger or Ledger(ledger_path, name, environment.now)
         self.lock = threading.RLock()
-        self.held = {}  # request id -> {"blocks", "digest", "born"}
+        self.held = {}  # request id -> {"blocks", "digest", "exported_at"}
         self.cache = collections.OrderedDict()  # prefix key -> True
         self.running = self.waiting = 0
-        self.callers = {}  # id of a send -> its user agent's id
-        self.shakes = set()  # engines handshaken with
-        self.standing, self.holder = 0, ""
-        self.newest = (0, 0.0)  # newest sequence seen, and when first
-        self.refuses_older = True  # whether it knows the header that bears the sequence
-        self.fault = {}  # what the tests make go wrong
-        self.hold = HOLD
+        self.callers = {}  # request id of a send -> request id of the user agent
+        self.handshaken_engines = set()  # engine ids with which a handshake was made
+        self.fencing_token, self.order_leader = 0, ""
+        self.newest_sequence = (0, 0.0)  # newest sequence seen and when it was first seen
+        self.rejects_older = True  # False: an old replica that ignores the header with the sequence
+        self.fault = {}  # injected faults by name
+        self.hold_s = HOLD_S
         self.ledger.add("start", engine=self.engine)
 
     def token(self):
@@ -68,16 +68,20 @@
     def slots(self):
         return SLOTS.get(self.role, 4)
 
-    def older(self, sequence):
-        """Whether a newer sequence was seen here more than a moment ago."""
-        if sequence > self.newest[0]:
-            self.newest = (sequence, self.environment.now())
-        return self.refuses_older and sequence < self.newest[0] and self.environment.now() - self.newest[1] > OLDER
-
-    def take_slot(self):
+    def is_older_sequence(self, sequence):
+        """Tell whether a newer sequence was first seen more than OLDER_SEQUENCE_GRACE_S ago."""
+        if sequence > self.newest_sequence[0]:
+            self.newest_sequence = (sequence, self.environment.now())
+        return (
+            self.rejects_older
+            and sequence < self.newest_sequence[0]
+            and self.environment.now() - self.newest_sequence[1] > OLDER_SEQUENCE_GRACE_S
+        )
+
+    def acquire_slot(self):
         with self.lock:
-            if self.running + self.waiting >= self.slots() + QUEUE:
-                raise Full()
+            if self.running + self.waiting >= self.slots() + QUEUE_LENGTH:
+                raise QueueFull()
             self.waiting += 1
         while True:
             with self.lock:
@@ -85,14 +89,14 @@
                     self.waiting -= 1
                     self.running += 1
                     return
-            self.environment.sleep(WAIT_BEAT)
+            self.environment.sleep(SLOT_POLL_INTERVAL_S)
 
-    def give_slot(self):
+    def release_slot(self):
         with self.lock:
             self.running -= 1
 
-    def uncached(self, prompt):
-        """Characters to read; the prompt's blocks are cached from now on."""
+    def count_uncached_chars(self, prompt):
+        """Count the characters to prefill and add the prompt's blocks to the cache."""
         keys = replica_adapter.prefix_keys(prompt)
         with self.lock:
             hits = 0
@@ -103,7 +107,7 @@
             for key in keys:
                 self.cache[key] = True
                 self.cache.move_to_end(key)
-            while len(self.cache) > CACHE_KEYS:
+            while len(self.cache) > CACHE_BLOCKS:
                 self.cache.popitem(last=False)
         return max(0, len(prompt) - hits * replica_adapter.constants.CACHE_BLOCK_CHARS)
 
@@ -113,29 +117,29 @@
                 self.environment.random.getrandbits(20)
                 for _ in range(1 + len(prompt) // replica_adapter.constants.CACHE_BLOCK_CHARS)
             ]
-            self.held[request] = {"blocks": blocks, "digest": digest_of(prompt), "born": self.environment.now()}
-        self.note("export", request)
+            self.held[request] = {"blocks": blocks, "digest": digest_of(prompt), "exported_at": self.environment.now()}
+        self.record("export", request)
         return blocks
 
-    def note(self, kind, send):
+    def record(self, kind, send):
         self.ledger.add(kind, request=self.callers.get(send, send), send=send, engine=self.engine)
 
-    def lapse(self):
+    def expire_held(self):
         now = self.environment.now()
         with self.lock:
-            gone = [r for r, h in self.held.items() if now - h["born"] > self.hold]
-            for request in gone:
+            expired = [request for request, held in self.held.items() if now - held["exported_at"] > self.hold_s]
+            for request in expired:
                 del self.held[request]
-                self.note("lapse", request)
+                self.record("lapse", request)
 
     def pull(self, engine, request, blocks):
-        """What a decode replica reads: the digest of the held memory, or None."""
-        self.lapse()
+        """Return the digest of the held memory for a decode replica, or None."""
+        self.expire_held()
         with self.lock:
             held = self.held.get(request)
             if engine != self.engine or held is None or held["blocks"] != blocks:
                 return None
-            self.note("pull", request)
+            self.record("pull", request)
             return held["digest"]
 
     def free(self, engine, request):
@@ -143,20 +147,20 @@
             if engine != self.engine or request not in self.held:
                 return False
             del self.held[request]
-        self.note("free", request)
+        self.record("free", request)
         return True
 
     def order(self, role, standing, holder, sequence):
         with self.lock:
-            good = standing > self.standing or (standing == self.standing and holder == self.holder)
-            self.ledger.add("order", role=role, standing=standing, holder=holder, taken=good, sequence=sequence)
-            if good:
-                self.older(sequence)
-                self.standing, self.holder, self.role = standing, holder, role
-            return good
+            accepted = standing > self.fencing_token or (standing == self.fencing_token and holder == self.order_leader)
+            self.ledger.add("order", role=role, standing=standing, holder=holder, taken=accepted, sequence=sequence)
+            if accepted:
+                self.is_older_sequence(sequence)
+                self.fencing_token, self.order_leader, self.role = standing, holder, role
+            return accepted
 
     def condition(self):
-        self.lapse()
+        self.expire_held()
         with self.lock:
             keys = list(self.cache)
             return {
@@ -168,5 +172,5 @@
                 "slots": self.slots(),
                 "held": len(self.held),
                 "cache": keys,
-                "standing": self.standing,
+                "standing": self.fencing_token,
             }
--- a/tools/simulator/day_base.py
+++ b/tools/simulator/day_base.py
@@ -33,16 +33,16 @@
     name, at = f.random.choice([n for n in f.names("replica") if n not in f.spared]), 4 + 4 * f.random.random()
 
     def show(state):
-        if name in f.list.past[-1][1]:
+        if name in f.list.versions[-1][1]:
             f.list.change(name, {"state": state})
 
     f.later(at, lambda: show("leaving"))
     f.later(at + 5, lambda: show("ready"))
-    call = {**callers.make(f.seed, "bad", ["nobody"]), "tenant": "nobody"}
+    call = {**callers.make_call(f.seed, "bad", ["nobody"]), "tenant": "nobody"}
     f.later(
         5,
         lambda: f.operator(
-            lambda: f.rows.append(callers.send(f.ops, f.random.choice(f.http("route")), f.plan["model"], call))
+            lambda: f.rows.append(callers.send_call(f.ops, f.random.choice(f.http("route")), f.plan["model"], call))
         ),
     )
 
@@ -53,8 +53,8 @@
     for name in f.names("replica"):
         f.machines[name].hit(0.0)
         for held in f.parts[name].held.values():
-            held["born"] = -1e9
-        f.parts[name].lapse()
+            held["exported_at"] = -1e9
+        f.parts[name].expire_held()
 
 
 def restart_machine(f, name, at, back=2.0):
--- a/tools/simulator/days_of_machines.py
+++ b/tools/simulator/days_of_machines.py
@@ -64,7 +64,7 @@
     The replicas do not know the header that bears a send's sequence: only the router's own check is left.
     """
     for name in f.names("replica"):
-        f.parts[name].refuses_older = False
+        f.parts[name].rejects_older = False
     base.freeze_at(f, "watch")
     return 9
 
--- a/tools/simulator/days_of_replicas.py
+++ b/tools/simulator/days_of_replicas.py
@@ -130,5 +130,5 @@
 
 @base.day
 def list_down(f):
-    f.later(3, lambda: f.list.down(6))
+    f.later(3, lambda: f.list.add_outage(6))
     return 9
--- a/tools/simulator/days_of_roll_outs.py
+++ b/tools/simulator/days_of_roll_outs.py
@@ -24,7 +24,7 @@
 def lists_lag_apart(f):
     """Some readers see the list much later than others: a hint must outlast an older reading."""
     for name in f.random.sample(f.names("route"), len(f.names("route")) // 2):
-        f.list.lags[name] = 4 + 4 * f.random.random()
+        f.list.reader_lags[name] = 4 + 4 * f.random.random()
     leave(f, 3)
     return 14
 
--- a/tools/simulator/end_of_day.py
+++ b/tools/simulator/end_of_day.py
@@ -25,7 +25,7 @@
     """Notes each moment in which the listed, living replicas have no prefill or no decode among them."""
 
     def look():
-        listed = [n for n, row in f.list.past[-1][1].items() if row["state"] == "ready" and f.machines[n].alive]
+        listed = [n for n, row in f.list.versions[-1][1].items() if row["state"] == "ready" and f.machines[n].alive]
         roles = collections.Counter(f.parts[n].role for n in listed)
         f.roles.append((f.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
         f.later(beat, look)
--- a/tools/stand_in_list.py
+++ b/tools/stand_in_list.py
@@ -1,10 +1,10 @@
-"""A stand-in platform list that lags: GET /replicas shows the state of LAG ago.
+"""A stand-in platform list with a lag: GET /replicas returns the state of `lag` seconds ago.
 
 python -m tools.stand_in_list --address 127.0.0.1:9000 --lag 0.7
 
 POST /set takes one item ({"name": ..., "state": "leaving"} or a whole item),
-POST /drop {"name": ...} removes it. GET /shown tells when each state was first
-visible, for the checker.
+POST /drop {"name": ...} removes it. GET /shown returns, for the checker, when
+each item was visible as leaving.
 """
 
 import argparse
@@ -19,51 +19,51 @@
     def __init__(self, lag=0.0, now=clock.now):
         self.lag, self.now = lag, now
         self.lock = threading.Lock()
-        self.past = [(now() - 1e6, {})]  # (when, items)
-        self.downs = []  # spans in which it answers nothing
-        self.lags = {}  # reader -> a lag of its own
+        self.versions = [(now() - 1e6, {})]  # (when, items)
+        self.outages = []  # (from, until) in which requests are answered with 503
+        self.reader_lags = {}  # address of a reader -> its own lag
 
     def change(self, name, item):
         with self.lock:
-            items = dict(self.past[-1][1])
+            items = dict(self.versions[-1][1])
             if item is None:
                 items.pop(name, None)
             else:
                 items[name] = {**items.get(name, {}), **item}
-            self.past.append((self.now(), items))
+            self.versions.append((self.now(), items))
 
-    def down(self, seconds):
-        self.downs.append((self.now(), self.now() + seconds))
+    def add_outage(self, seconds):
+        self.outages.append((self.now(), self.now() + seconds))
 
     def shown_at(self, at):
-        """When a change made at this time could first be read."""
+        """Return when a change made at this time first became visible."""
         first = at + self.lag
-        return max([first] + [until for since, until in self.downs if since <= first < until])
+        return max([first] + [until for since, until in self.outages if since <= first < until])
 
     def shown(self, reader=""):
         with self.lock:
-            upto = self.now() - self.lags.get(reader, self.lag)
-            return next(items for at, items in reversed(self.past) if at <= upto)
+            visible_until = self.now() - self.reader_lags.get(reader, self.lag)
+            return next(items for at, items in reversed(self.versions) if at <= visible_until)
 
     def history(self):
         """Map each name to spans [from, until or None] in which it was shown as leaving."""
-        found = {}
+        spans_by_name = {}
         with self.lock:
-            for at, items in self.past:
+            for at, items in self.versions:
                 for name, item in items.items():
-                    spans, leaving = found.setdefault(name, []), item.get("state") == "leaving"
-                    shown = bool(spans) and spans[-1][1] is None
-                    if leaving and not shown:
+                    spans, leaving = spans_by_name.setdefault(name, []), item.get("state") == "leaving"
+                    is_shown = bool(spans) and spans[-1][1] is None
+                    if leaving and not is_shown:
                         spans.append([self.shown_at(at), None])
-                    elif shown and not leaving:
+                    elif is_shown and not leaving:
                         spans[-1][1] = at + self.lag
-        return {name: spans for name, spans in found.items() if spans}
+        return {name: spans for name, spans in spans_by_name.items() if spans}
 
     def __call__(self, environ, start):
         path = environ["PATH_INFO"]
         data = front.body_of(environ)
         if path == "/replicas":
-            if any(since <= self.now() < until for since, until in self.downs):
+            if any(since <= self.now() < until for since, until in self.outages):
                 return front.fault(start, 503, "list is down")
             return front.respond(start, 200, {"items": list(self.shown(environ.get("REMOTE_ADDR", "")).values())})
         if path == "/set":
@@ -72,7 +72,7 @@
         elif path == "/drop":
             self.change(json.loads(data)["name"], None)
         elif path == "/down":
-            self.down(json.loads(data)["seconds"])
+            self.add_outage(json.loads(data)["seconds"])
         elif path != "/shown":
             return front.fault(start, 404, "no such path")
         return front.respond(start, 200, {"leaving": self.history()})
--- a/tools/stand_in_replica.py
+++ b/tools/stand_in_replica.py
@@ -1,8 +1,8 @@
-"""A stand-in model server: OpenAI-style completions with kv_transfer_params.
+"""A stand-in model server with OpenAI-style completions and kv_transfer_params.
 
 python -m tools.stand_in_replica --name r1 --address 127.0.0.1:9101 --ledger r1.jsonl
 
-POST /fault sets what goes wrong: {"crash": true}, {"dark": seconds}, {"hold": s},
+POST /fault sets the injected faults: {"crash": true}, {"dark": seconds}, {"hold": s},
 {"lapse": true}, {"link": seconds}, {"cut_after": n}, {"error_after": n},
 {"foreign_handle": true}, {"no_handle": true}, {"short_body": true},
 {"bounce": "prefill"|"decode"}, {"slow": factor}.
@@ -22,7 +22,7 @@
 
 
 class Replica:
-    """One model server as a WSGI application; `crash` ends it when a fault says so."""
+    """One model server as a WSGI application; `crash` ends the process for the fault of that name."""
 
     def __init__(self, memory, address, crash=lambda: os._exit(9)):
         self.memory, self.address, self.crash = memory, address, crash
@@ -30,10 +30,10 @@
 
     def __call__(self, environ, start):
         path, memory = environ["PATH_INFO"], self.memory
-        environ["mothshed.arrived"] = self.environment.now()  # a dark replica answers late what reached it early
-        dark = memory.fault.get("dark_until", 0) - self.environment.now()
-        if dark > 0 and path != "/fault":
-            self.environment.sleep(min(dark, 30))
+        environ["mothshed.arrived"] = self.environment.now()  # a dark replica delays its answers, not the arrival
+        dark_s = memory.fault.get("dark_until", 0) - self.environment.now()
+        if dark_s > 0 and path != "/fault":
+            self.environment.sleep(min(dark_s, 30))
         data = front.body_of(environ)
         body = json.loads(data) if data else {}
         if path == "/condition":
@@ -49,11 +49,11 @@
                 {"engine_id": memory.engine, "agent": memory.token(), "block_len": 256, "base": 4096, "heads": 8},
             )
         if path == "/kv/free":
-            good = memory.free(body["engine_id"], body["request_id"])
-            return front.respond(start, 200 if good else 404, {"freed": good})
+            accepted = memory.free(body["engine_id"], body["request_id"])
+            return front.respond(start, 200 if accepted else 404, {"freed": accepted})
         if path == "/role":
-            good = memory.order(body["role"], body["standing"], body["holder"], body["sequence"])
-            return front.respond(start, 200 if good else 409, {"standing": memory.standing})
+            accepted = memory.order(body["role"], body["standing"], body["holder"], body["sequence"])
+            return front.respond(start, 200 if accepted else 409, {"standing": memory.fencing_token})
         if path == "/fault":
             return self.set_fault(body, start)
         if path in ("/v1/completions", "/v1/chat/completions"):
@@ -61,23 +61,23 @@
         return front.fault(start, 404, "no such path")
 
     def set_fault(self, body, start):
-        """Take over what goes wrong from now on."""
+        """Replace the injected faults."""
         memory = self.memory
         if body.get("crash"):
             self.crash()
         if "dark" in body:
             body["dark_until"] = self.environment.now() + body.pop("dark")
-        memory.hold = body.pop("hold", memory.hold)
+        memory.hold_s = body.pop("hold", memory.hold_s)
         if body.pop("lapse", False):
             with memory.lock:
                 for held in memory.held.values():
-                    held["born"] = -1e9
-            memory.lapse()
+                    held["exported_at"] = -1e9
+            memory.expire_held()
         memory.fault = body
         return front.respond(start, 200, {})
 
     def reject(self, start, request, reason, status=503, kind="busy"):
-        """Refuse a request that has not run."""
+        """Reject a request that has not run."""
         return front.respond(
             start,
             status,
@@ -86,45 +86,45 @@
         )
 
     def complete(self, path, environ, body, start):
-        """Serve a prefill or a decode, by what the request says of its memory."""
+        """Serve a prefill or a decode, depending on the request's kv_transfer_params."""
         headers = front.headers_of(environ)
         request, memory = headers.get("x-request-id", ""), self.memory
-        caller = headers.get("x-caller-request-id", request)  # the books go by the user agent's id
+        caller = headers.get("x-caller-request-id", request)  # the ledger uses the id of the user agent
         memory.callers[request] = caller
         sequence = int(headers.get("x-config-sequence", 0))
         kv = body.get("kv_transfer_params") or {}
         role = "prefill" if kv.get("do_remote_decode") else "decode" if kv.get("do_remote_prefill") else ""
-        older = memory.older(sequence)
+        is_older = memory.is_older_sequence(sequence)
         memory.ledger.add(
             "seen",
             request=caller,
             send=request,
             role=role,
             sequence=sequence,
-            older=older,
+            older=is_older,
             at=environ["mothshed.arrived"],
         )
-        if older:
+        if is_older:
             return self.reject(start, request, "a newer configuration was seen here", 409, "older_configuration")
         if not role or role != memory.role or memory.fault.get("bounce") == role:
             return self.reject(start, request, f"not serving {role or 'whole requests'}")
         try:
-            memory.take_slot()
-        except replica_memory.Full:
+            memory.acquire_slot()
+        except replica_memory.QueueFull:
             return self.reject(start, request, "queue is full")
         if role == "prefill":
             try:
                 return self.prefill(path, request, body, sequence, start)
             finally:
-                memory.give_slot()
+                memory.release_slot()
         return self.decode(path, request, body, kv, sequence, start)
 
     def prompt(self, path, body):
-        """Give the prompt of either form of request."""
+        """Return the prompt of a completion or chat completion request."""
         return replica_memory.replica_adapter.prompt_text(path, body)
 
     def prefill(self, path, request, body, sequence, start):
-        """Read the prompt and answer with the handle of its exported memory."""
+        """Prefill the prompt and respond with the handle of its exported KV memory."""
         memory = self.memory
         if body.get("max_tokens") != 1 or body.get("stream"):
             return self.reject(start, request, "prefill needs max_tokens=1 and stream=false", 400, "bad_request")
@@ -138,7 +138,9 @@
             sequence=sequence,
             digest=replica_memory.digest_of(prompt),
         )
-        self.environment.sleep(memory.uncached(prompt) / replica_memory.READ_SPEED * memory.fault.get("slow", 1))
+        self.environment.sleep(
+            memory.count_uncached_chars(prompt) / replica_memory.PREFILL_CHARS_PER_S * memory.fault.get("slow", 1)
+        )
         blocks = memory.export(request, prompt)
         host, port = self.address.rsplit(":", 1)
         params = {
@@ -152,34 +154,34 @@
         }
         if memory.fault.get("foreign_handle"):
             params["remote_request_id"] = "other-" + request
-        said = {
+        response = {
             "id": f"cmpl-{request}",
             "object": "text_completion",
             "kv_transfer_params": params,
             "choices": [{"index": 0, "text": "discard-me", "finish_reason": "length"}],
         }
         if memory.fault.get("no_handle"):
-            del said["kv_transfer_params"]
+            del response["kv_transfer_params"]
         memory.ledger.add("prefilled", request=memory.callers[request], run=run)
         if memory.fault.get("short_body"):
             start(
                 "200 OK", [("Content-Type", "application/json"), ("Content-Length", "5000"), ("X-Request-Id", request)]
             )
-            return [json.dumps(said).encode()[:40]]
-        return front.respond(start, 200, said, [("X-Request-Id", request)])
+            return [json.dumps(response).encode()[:40]]
+        return front.respond(start, 200, response, [("X-Request-Id", request)])
 
-    def fetch(self, request, kv):
-        """WAITING_FOR_REMOTE_KVS: handshake once per pair, then pull. None: the memory is gone."""
+    def pull_memory(self, request, kv):
+        """Wait for remote KV memory: handshake once per pair, then pull. None: the memory is gone."""
         memory, base = self.memory, f"http://{kv['remote_host']}:{kv['remote_port']}"
         self.environment.sleep(memory.fault.get("link", 0))
         try:
-            if kv["remote_engine_id"] not in memory.shakes:
-                status, said = self.environment.web.poll("GET", base + "/kv/handshake", read=2.0)
-                if said.get("engine_id") != kv["remote_engine_id"]:
+            if kv["remote_engine_id"] not in memory.handshaken_engines:
+                status, response = self.environment.web.poll("GET", base + "/kv/handshake", read=2.0)
+                if response.get("engine_id") != kv["remote_engine_id"]:
                     return None
-                memory.shakes.add(kv["remote_engine_id"])
+                memory.handshaken_engines.add(kv["remote_engine_id"])
                 memory.ledger.add("handshake", engine=kv["remote_engine_id"])
-            status, said = self.environment.web.poll(
+            status, response = self.environment.web.poll(
                 "POST",
                 base + "/kv/pull",
                 {
@@ -189,20 +191,20 @@
                 },
                 read=5.0,
             )
-            return said["digest"] if status == 200 else None
+            return response["digest"] if status == 200 else None
         except (web.WebFault, KeyError):
             return None
 
     def decode(self, path, request, body, kv, sequence, start):
-        """Fetch the memory that the handle names and stream the answer."""
+        """Pull the memory that the handle names and stream the answer."""
         memory = self.memory
         try:
-            digest = self.fetch(request, kv)
+            digest = self.pull_memory(request, kv)
         except BaseException:
-            memory.give_slot()
+            memory.release_slot()
             raise
         if digest is None:
-            memory.give_slot()
+            memory.release_slot()
             return self.reject(start, request, "held memory is gone", 409, "kv_gone")
         run = memory.token()
         memory.ledger.add(
@@ -219,7 +221,7 @@
 
 
 def main():
-    """Serve one replica until killed."""
+    """Serve one replica until the process is killed."""
     parser = argparse.ArgumentParser(description="stand-in model server")
     parser.add_argument("--name", required=True)
     parser.add_argument("--address", required=True)
--- a/tools/taken_out.py
+++ b/tools/taken_out.py
@@ -161,7 +161,7 @@
         "service returns",
     ),
     "replicas refuse older sends": (
-        weakened.put(replica_memory.Memory, older=lambda self, sequence: False),
+        weakened.put(replica_memory.Memory, is_older_sequence=lambda self, sequence: False),
         "freeze_in_write",
         "new after ack",
     ),
--- a/tools/token_stream.py
+++ b/tools/token_stream.py
@@ -1,4 +1,4 @@
-"""The token stream that a stand-in replica answers a decode with, faults included."""
+"""The token stream of a decode on a stand-in replica, including injected faults."""
 
 import json
 
@@ -6,39 +6,42 @@
 
 
 class TokenStream:
-    """The decode's stream; each token names its place, its run and the memory it came from."""
+    """The event stream of a decode; each token names its position, its run and the digest of its memory."""
 
     def __init__(self, replica, path, request, body, digest, run):
         self.memory, self.path, self.request, self.run = replica.memory, path, request, run
-        self.count = body.get("max_tokens", 16)
-        self.rows = self.events(digest)
-        self.open = True
+        self.token_count = body.get("max_tokens", 16)
+        self.event_iterator = self.events(digest)
+        self.is_open = True
 
     def __iter__(self):
-        return self.rows
+        return self.event_iterator
 
     def events(self, digest):
-        """Yield each token's event, or what the fault in force makes of it."""
+        """Yield one event per token, or what an injected fault makes of it."""
         memory = self.memory
-        for at in range(self.count):
-            memory.environment.sleep(memory.fault.get("slow", 1) / replica_memory.WRITE_SPEED)
-            if memory.fault.get("cut_after") == at:
+        for position in range(self.token_count):
+            memory.environment.sleep(memory.fault.get("slow", 1) / replica_memory.DECODE_TOKENS_PER_S)
+            if memory.fault.get("cut_after") == position:
                 raise ConnectionAbortedError("cut by a fault")
-            if memory.fault.get("error_after") == at:
+            if memory.fault.get("error_after") == position:
                 yield b'data: {"error": {"message": "engine failed"}}\n\n'
                 return
-            text, finish = f"{at}.{self.run}.{digest} ", "stop" if at == self.count - 1 else None
-            choice = {"index": 0, "text": text, "finish_reason": finish}
+            text, finish_reason = (
+                f"{position}.{self.run}.{digest} ",
+                "stop" if position == self.token_count - 1 else None,
+            )
+            choice = {"index": 0, "text": text, "finish_reason": finish_reason}
             if self.path == "/v1/chat/completions":
-                choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish}
+                choice = {"index": 0, "delta": {"content": text}, "finish_reason": finish_reason}
             chunk = {"id": f"cmpl-{self.request}", "object": "text_completion", "choices": [choice]}
             yield b"data: " + json.dumps(chunk).encode() + b"\n\n"
         yield b"data: [DONE]\n\n"
-        memory.ledger.add("decoded", request=memory.callers[self.request], run=self.run, tokens=self.count)
+        memory.ledger.add("decoded", request=memory.callers[self.request], run=self.run, tokens=self.token_count)
 
     def close(self):
-        """Stop streaming and give the place back, once."""
-        if self.open:
-            self.open = False
-            self.rows.close()
-            self.memory.give_slot()
+        """Stop streaming and release the slot; repeated calls do nothing."""
+        if self.is_open:
+            self.is_open = False
+            self.event_iterator.close()
+            self.memory.release_slot()
