--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -24,7 +24,7 @@
         try:
             url = f"http://{fleet.settings[name]['http']}/configuration"
             responses.append(fleet.ops.web.send("PATCH", url, body, read=1.0).status)
-        except sim.network.web.WebFault:
+        except sim.network.http_client.ExchangeError:
             responses.append(0)
 
     fleet.operator(call)
@@ -88,7 +88,7 @@
 
         for method, body in orders.items():
             delay = fleet.random.random() * 0.01
-            fleet.later(delay, lambda m=method, b=body, c=call, f=fleet: f.operator(lambda: c(m, b)))
+            fleet.call_later(delay, lambda m=method, b=body, c=call, f=fleet: f.operator(lambda: c(m, b)))
         fleet.run(6.0)
         assert sorted(responses.values()) == [200, 409]
         won = min(responses, key=responses.get)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -17,7 +17,10 @@
         (["tools.measure", "pairing", "--traffic", "/no/such/file"], "/no/such/file"),
         (["mothshed.programs.operate", "fleet", "--faults", "3:kill_router,x:config,4:explode"], "x:config, 4:explode"),
         (["mothshed.programs.operate", "fleet", "--deployment", "nowhere"], "nowhere"),
-        (["mothshed.programs.operate", "fleet", "--faults", "3:later"], "expected seconds:name of kill_router"),
+        (
+            ["mothshed.programs.operate", "fleet", "--faults", "3:call_later"],
+            "expected seconds:name with one of kill_router",
+        ),
         (["tools.simulate", "--size", "huge"], "huge"),
         (["tools.simulate", "--jobs", "0"], "--jobs"),
         (["tools.service_table", "--seeds", "x"], "x"),
--- a/tools/callers.py
+++ b/tools/callers.py
@@ -8,7 +8,7 @@
 import json
 import random
 
-import mothshed.http.web as web
+import mothshed.http.http_client as http_client
 import tools.replica_memory as replica_memory
 
 SHARED_PREFIXES = {
@@ -74,13 +74,13 @@
     }
     try:
         response = environment.web.send("POST", f"http://{router}/v1/completions", body, headers, read=12)
-    except web.WebFault as error:
+    except http_client.ExchangeError as error:
         row.update(end="lost" if error.sent else "refused", done=environment.now(), error=str(error))
         return row
     row["status"] = response.status
     try:
         read_response(environment, response, row, call["stream"])
-    except (web.WebFault, ValueError, KeyError) as error:
+    except (http_client.ExchangeError, ValueError, KeyError) as error:
         row.update(end="broken", error=f"{type(error).__name__}: {error}")
     finally:
         response.close()
