--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -45,11 +45,11 @@
         for connection in connect(router, 400, data):
             stack.enter_context(connection)
         rows = [
-            callers.send(
+            callers.send_call(
                 environment_module.Tasks(),
                 router,
                 "shift-notes",
-                callers.make("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
+                callers.make_call("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
             )
             for n in range(3)
         ]
--- a/tools/simulator/scenario_base.py
+++ b/tools/simulator/scenario_base.py
@@ -35,17 +35,17 @@
     )
 
     def list_as(state):
-        if name in fleet.list.past[-1][1]:
+        if name in fleet.list.versions[-1][1]:
             fleet.list.change(name, {"state": state})
 
     fleet.call_later(at, lambda: list_as("leaving"))
     fleet.call_later(at + 5, lambda: list_as("ready"))
-    call = {**callers.make(fleet.seed, "bad", ["nobody"]), "tenant": "nobody"}
+    call = {**callers.make_call(fleet.seed, "bad", ["nobody"]), "tenant": "nobody"}
     fleet.call_later(
         5,
         lambda: fleet.operator(
             lambda: fleet.rows.append(
-                callers.send(fleet.ops, fleet.random.choice(fleet.http("route")), fleet.plan["model"], call)
+                callers.send_call(fleet.ops, fleet.random.choice(fleet.http("route")), fleet.plan["model"], call)
             )
         ),
     )
@@ -57,8 +57,8 @@
     for name in fleet.names("replica"):
         fleet.machines[name].mark_faulty(0.0)
         for held in fleet.parts[name].held.values():
-            held["born"] = -1e9
-        fleet.parts[name].lapse()
+            held["exported_at"] = -1e9
+        fleet.parts[name].expire_held()
 
 
 def restart_machine(fleet, name, at, back=2.0):
--- a/tools/simulator/scenarios_processes.py
+++ b/tools/simulator/scenarios_processes.py
@@ -66,7 +66,7 @@
     The replicas ignore the header with the configuration sequence, so only the router's own check is left.
     """
     for name in fleet.names("replica"):
-        fleet.parts[name].refuses_older = False
+        fleet.parts[name].rejects_older = False
     base.freeze_at(fleet, "before_connect")
     return 9
 
--- a/tools/simulator/scenarios_rollouts.py
+++ b/tools/simulator/scenarios_rollouts.py
@@ -24,7 +24,7 @@
 def lists_lag_apart(fleet):
     """Some routers read an old list: a neighbour's report of a leaving replica must take precedence."""
     for name in fleet.random.sample(fleet.names("route"), len(fleet.names("route")) // 2):
-        fleet.list.lags[name] = 4 + 4 * fleet.random.random()
+        fleet.list.reader_lags[name] = 4 + 4 * fleet.random.random()
     leave(fleet, 3)
     return 14
 
