--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The checker itself: one good history passes, and one history breaks each rule."""
+"""The checker itself: a valid history passes, and a violation of each rule is reported."""
 
 import copy
 
@@ -7,7 +7,7 @@
 import tools.judge as judge
 import tools.judge_traffic as judge_traffic
 
-GOOD = {
+VALID_RUN = {
     "history": [
         {
             "id": "a",
@@ -72,7 +72,7 @@
 }
 
 
-def rules(case):
+def broken_rules(case):
     table = judge.all_rules(
         case["history"], case["ledger"], case["writes"], case["shown"], case["final"], case["refused"]
     )
@@ -80,7 +80,7 @@
     return {rule for rule, found in table.items() if found}
 
 
-def row(case, kind, role=None):
+def find_row(case, kind, role=None):
     return next(
         r
         for r in case["ledger"]
@@ -88,22 +88,22 @@
     )
 
 
-def again(case, source, **changes):
+def append_row(case, source, **changes):
     case["ledger"].append({**source, **changes})
 
 
-BREACHES = {
-    "never twice": lambda c: again(c, row(c, "run", "decode"), run="r3", at=11.0),
-    "bounced never ran": lambda c: again(c, row(c, "run", "prefill"), request="b", run="r4"),
-    "own memory": lambda c: row(c, "run", "decode").update(memory="x"),
+VIOLATIONS = {
+    "never twice": lambda c: append_row(c, find_row(c, "run", "decode"), run="r3", at=11.0),
+    "bounced never ran": lambda c: append_row(c, find_row(c, "run", "prefill"), request="b", run="r4"),
+    "own memory": lambda c: find_row(c, "run", "decode").update(memory="x"),
     "new after ack": lambda c: c["writes"].append({"id": "w2", "sequence": 2, "acked": 7.0, "base": 1}),
-    "no fall back": lambda c: again(c, row(c, "seen", "prefill"), request="c", sequence=2, at=9.0),
+    "no fall back": lambda c: append_row(c, find_row(c, "seen", "prefill"), request="c", sequence=2, at=9.0),
     "leaving": lambda c: c["shown"].update(q=[[6.0, None]]),
     "writes kept": lambda c: c["final"]["rows"].clear(),
-    "freed": lambda c: c["ledger"].remove(row(c, "free")),
+    "freed": lambda c: c["ledger"].remove(find_row(c, "free")),
     "answered at once": lambda c: c["history"][1].update(done=19.0),
 }
-WRITES = {
+LOST_WRITES = {
     "not in the record": lambda c: c["final"]["taken"].clear(),
     "under another sequence in the record": lambda c: c["final"]["taken"].update(w1=2),
     "under another sequence in the history": lambda c: c["final"]["rows"][0].update(sequence=2),
@@ -115,7 +115,7 @@
         c["final"]["rows"].append({"sequence": 2, "id": "w2"}),
     ),
 }
-WHOLE = {
+BAD_RESPONSES = {
     "a piece skipped": {"text": "0.r2.d 2.r2.d "},
     "a piece repeated": {"text": "0.r2.d 0.r2.d "},
     "two runs joined": {"text": "0.r2.d 1.r9.d "},
@@ -125,57 +125,57 @@
     "half a piece": {"text": "0.r2.d 1.r2"},
     "success of a run that never ended": {"text": "0.r8.d 1.r8.d "},
 }
-ORDERS = {
+BAD_ORDERS = {
     "equal standing": {"holder": "k2", "at": 20.0},
     "turns": {"holder": "k2", "standing": 2, "at": 6.0},
     "standing fell": {"standing": 0, "at": 6.0},
 }
 
 
-@pytest.mark.parametrize("how", WRITES)
-def test_each_way_to_lose_a_write_is_seen(how):
-    case = copy.deepcopy(GOOD)
-    WRITES[how](case)
-    assert rules(case) == {"writes kept"}
+@pytest.mark.parametrize("case_name", LOST_WRITES)
+def test_each_way_to_lose_a_write_is_reported(case_name):
+    case = copy.deepcopy(VALID_RUN)
+    LOST_WRITES[case_name](case)
+    assert broken_rules(case) == {"writes kept"}
 
 
-def test_the_good_history_passes():
-    assert rules(copy.deepcopy(GOOD)) == set()
+def test_a_valid_history_passes():
+    assert broken_rules(copy.deepcopy(VALID_RUN)) == set()
 
 
-@pytest.mark.parametrize("rule", BREACHES)
-def test_each_rule_is_seen_broken(rule):
-    case = copy.deepcopy(GOOD)
-    BREACHES[rule](case)
-    assert rule in rules(case)
+@pytest.mark.parametrize("rule", VIOLATIONS)
+def test_a_violation_of_each_rule_is_reported(rule):
+    case = copy.deepcopy(VALID_RUN)
+    VIOLATIONS[rule](case)
+    assert rule in broken_rules(case)
 
 
-@pytest.mark.parametrize("name", WHOLE)
-def test_answers_that_are_not_whole_and_own(name):
-    case = copy.deepcopy(GOOD)
-    case["history"][0].update(WHOLE[name])
-    assert rules(case) == {"whole and own"}
+@pytest.mark.parametrize("name", BAD_RESPONSES)
+def test_incomplete_or_mixed_responses_are_reported(name):
+    case = copy.deepcopy(VALID_RUN)
+    case["history"][0].update(BAD_RESPONSES[name])
+    assert broken_rules(case) == {"whole and own"}
 
 
-@pytest.mark.parametrize("name", ORDERS)
-def test_orders_out_of_line(name):
-    case = copy.deepcopy(GOOD)
-    again(case, row(case, "order"), **ORDERS[name])
-    assert rules(case) == {"orders fenced"}
+@pytest.mark.parametrize("name", BAD_ORDERS)
+def test_orders_without_fencing_are_reported(name):
+    case = copy.deepcopy(VALID_RUN)
+    append_row(case, find_row(case, "order"), **BAD_ORDERS[name])
+    assert broken_rules(case) == {"orders fenced"}
 
 
-def test_too_many_extras():
-    case = copy.deepcopy(GOOD)
-    for n in range(12):
-        again(case, row(case, "seen", "decode"), at=10.3 + n / 100)
-    assert rules(case) == {"few extras"}
+def test_too_many_extra_sends_are_reported():
+    case = copy.deepcopy(VALID_RUN)
+    for number in range(12):
+        append_row(case, find_row(case, "seen", "decode"), at=10.3 + number / 100)
+    assert broken_rules(case) == {"few extras"}
 
 
-def test_a_refused_write_and_two_over_one_base():
-    case = copy.deepcopy(GOOD)
+def test_a_refused_write_that_took_effect_and_two_writes_over_one_base_are_reported():
+    case = copy.deepcopy(VALID_RUN)
     case["refused"].append("w1")
-    assert rules(case) == {"writes kept"}
-    case = copy.deepcopy(GOOD)
+    assert broken_rules(case) == {"writes kept"}
+    case = copy.deepcopy(VALID_RUN)
     case["final"]["rows"].append({"sequence": 2, "id": "w2"})
     case["writes"].append({"id": "w2", "sequence": 2, "acked": 50.0, "base": 0})
-    assert rules(case) == {"writes kept"}
+    assert broken_rules(case) == {"writes kept"}
--- a/tools/recorded.py
+++ b/tools/recorded.py
@@ -1,4 +1,4 @@
-"""Reads what the stand-ins recorded: asks of user agents, and sends and runs at replicas."""
+"""Reads what the stand-ins recorded: attempts of user agents, and sends and runs at replicas."""
 
 import collections
 import typing
@@ -8,23 +8,23 @@
 
 
 def runs(ledger: Rows, role: str | None = None) -> Rows:
-    """Select the runs, or only those in one role."""
+    """Return the runs, or only those in one role."""
     return [row for row in ledger if row["kind"] == "run" and (role is None or row["role"] == role)]
 
 
 def rejected(row: Row) -> bool:
-    """Tell whether the user agent learned that its request was refused and had not run."""
+    """Tell whether the user agent learned that its request was rejected and had not run."""
     return row["end"] == "refused" or bool(row["status"]) and row["verdict"] == "not_run"
 
 
-def asks(history: Rows) -> dict[str, Rows]:
-    """Map each request's id to its asks, in the order they were sent."""
-    found = collections.defaultdict(list)
+def attempts_by_id(history: Rows) -> dict[str, Rows]:
+    """Map each request id to its attempts, in the order in which they were sent."""
+    attempts = collections.defaultdict(list)
     for row in sorted(history, key=lambda row: row["sent"]):
-        found[row["id"]].append(row)
-    return found
+        attempts[row["id"]].append(row)
+    return attempts
 
 
 def arrivals(ledger: Rows) -> Rows:
-    """Select sends as they reach a replica; a pull or a queue there may delay the run itself."""
+    """Return the sends when they reach a replica; a pull or its queue may delay the run itself."""
     return [row for row in ledger if row["kind"] == "seen" and row["role"] and not row.get("older")]
--- a/tools/service.py
+++ b/tools/service.py
@@ -46,7 +46,7 @@
 def figures(history):
     """Map each kind to [asked, served, begun within FIRST, whole in time]."""
     table = collections.defaultdict(lambda: [0, 0, 0, 0])
-    for rows in recorded.asks(history).values():
+    for rows in recorded.attempts_by_id(history).values():
         row = table[rows[0]["kind"]]
         row[0] += 1
         if rows[-1]["end"] == "whole":
--- a/tools/weight.py
+++ b/tools/weight.py
@@ -20,12 +20,16 @@
         "bounced never ran": sum(recorded.rejected(r) for r in f.rows),
         "whole and own": sum(bool(r["text"]) for r in f.rows),
         "own memory": len(recorded.runs(f.ledger, "decode")),
-        "new after ack": sum(any(r["at"] > at + judge.GAP_OLD for at in acked) for r in arrived),
-        "no fall back": sum(any(r["at"] > at + judge.GAP_BACK for at in latest[1:]) for r in arrived),
+        "new after ack": sum(any(r["at"] > at + judge.OLD_SEQUENCE_AFTER_ACK_S for at in acked) for r in arrived),
+        "no fall back": sum(any(r["at"] > at + judge.OLD_SEQUENCE_AFTER_SEEN_S for at in latest[1:]) for r in arrived),
         "writes kept": len(f.writes) + len(f.refused),
         "read back": 1,
         "leaving": sum(
-            any(r["at"] > since + judge.GAP_LEAVE for spans in f.list.history().values() for since, until in spans)
+            any(
+                r["at"] > since + judge.SENDS_AFTER_LEAVING_S
+                for spans in f.list.history().values()
+                for since, until in spans
+            )
             for r in arrived
         ),
         "nothing dropped": len(asked),
