--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -46,7 +46,7 @@
             stack.enter_context(connection)
         rows = [
             callers.send_call(
-                environment_module.Tasks(),
+                environment_module.BlockingEnvironment(),
                 router,
                 "shift-notes",
                 callers.make_call("crowd", n, ["dispatch"]) | {"id": f"c{n}"},
--- a/tools/fleet_run.py
+++ b/tools/fleet_run.py
@@ -95,7 +95,7 @@
         faults_run = fleet_faults.Faults(fleet, writes)
         faults_run.plan(faults)
         calls = callers.traffic(seed, fleet.plan["tenants"], rate or fleet.plan["rate"], seconds, kinds)
-        load = callers.Load(environment_module.Tasks(), seed, fleet.routers(), body["model"], calls)
+        load = callers.Load(environment_module.BlockingEnvironment(), seed, fleet.routers(), body["model"], calls)
         rows = load.run()
         for thread in faults_run.threads:
             thread.join(60)
