--- a/tests/permit_fleet.py
+++ b/tests/permit_fleet.py
@@ -40,7 +40,7 @@
             self.fleet.loop.spawn(machine, lambda: self.take(router))
 
     def take(self, router):
-        loop, part = self.fleet.loop, self.fleet.parts[router]
+        loop, part = self.fleet.loop, self.fleet.processes[router]
         arrived_at, now = loop.time, part.environment.now()
         sequence, document = part.lease.current()
         if sequence is None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -74,7 +74,7 @@
         {**HEADERS, **change.get("headers", {})},
     )
     assert response[0] == status and response[2]["error"]["verdict"] == "not_run"
-    assert ready_fleet.parts["route-1"].in_flight == 0 and not any(r["kind"] == "seen" for r in ready_fleet.ledger)
+    assert ready_fleet.processes["route-1"].in_flight == 0 and not any(r["kind"] == "seen" for r in ready_fleet.ledger)
 
 
 def test_request_before_the_first_configuration_is_rejected_with_retry_after():
@@ -112,11 +112,11 @@
     ],
 )
 def test_invalid_configuration_reports_every_error_and_applies_nothing(ready_fleet, body, paths):
-    app = operator_api.OperatorApi(ready_fleet.parts[ready_fleet.leader()])
+    app = operator_api.OperatorApi(ready_fleet.processes[ready_fleet.leader()])
     status, headers, response = fronts.call(app, "PUT", "/configuration", body)
     assert status == 400 and response["error"]["verdict"] == "not_run"
     assert [f.split(":")[0] for f in response["error"].get("faults", [])] == paths
-    assert ready_fleet.parts[ready_fleet.leader()].members[0].machine.latest == 1
+    assert ready_fleet.processes[ready_fleet.leader()].members[0].machine.latest == 1
 
 
 def test_stale_base_gets_409_with_the_current_sequence(ready_fleet):
--- a/tests/test_change_crashes.py
+++ b/tests/test_change_crashes.py
@@ -34,7 +34,7 @@
     """The newest document as each running keeper holds it."""
     documents = []
     for name in fleet.names("keep"):
-        machine = fleet.parts[name].members[0].machine
+        machine = fleet.processes[name].members[0].machine
         documents.append((machine.latest, machine.docs[machine.latest]["doc"]))
     return documents
 
--- a/tests/test_disk_failures.py
+++ b/tests/test_disk_failures.py
@@ -66,7 +66,7 @@
     f = simulate_fleet.SimFleet(f"full-{part}")
     f.ready()
     name = f.leader(part)
-    one, member_id = f.parts[name], f.parts[name].member_id
+    one, member_id = f.processes[name], f.processes[name].member_id
     f.disks[name].full = True
     f.operator(lambda: f.apply("while-full"))
     f.run(3)
@@ -74,6 +74,6 @@
     assert stopped and f.leader(0) not in (None, name if 0 in stopped else None)
     f.disks[name].full = False
     f.run(5)
-    assert f.parts[name] is one and one.condition()["serving"]
+    assert f.processes[name] is one and one.condition()["serving"]
     assert [member.member_id for member in one.members] == [member_id] * constants.PART_COUNT
-    assert {m.machine.latest for m in (f.parts[n].members[0] for n in f.names("keep"))} == {len(f.writes)}
+    assert {m.machine.latest for m in (f.processes[n].members[0] for n in f.names("keep"))} == {len(f.writes)}
--- a/tests/test_keys_of_our_interface.py
+++ b/tests/test_keys_of_our_interface.py
@@ -29,7 +29,7 @@
     def __init__(self, seed, body):
         self.sim = sim.SimFleet(seed, routers=1, replicas=2)
         self.sim.ready(body=body)
-        self.router = self.sim.parts["route-1"]
+        self.router = self.sim.processes["route-1"]
         self.sent, self.count = [], 0
         for address, (machine, app) in list(self.sim.net.apps.items()):
             if address.startswith("10.3."):
--- a/tests/test_leases_during_changes.py
+++ b/tests/test_leases_during_changes.py
@@ -12,7 +12,9 @@
     unleased = []
 
     def watch():
-        unleased.extend((fleet.loop.time, n) for n in fleet.names("route") if fleet.parts[n].lease.sequence() is None)
+        unleased.extend(
+            (fleet.loop.time, n) for n in fleet.names("route") if fleet.processes[n].lease.sequence() is None
+        )
         fleet.call_later(0.004, watch)
 
     def change(n):
@@ -33,7 +35,7 @@
     fleet.ready()
     fleet.run(1)
     assert apply_changes(fleet, 30, gap) == []
-    assert len(fleet.writes) == 31 and fleet.parts["route-1"].lease.active == 31
+    assert len(fleet.writes) == 31 and fleet.processes["route-1"].lease.active == 31
     assert final_checks.settle_and_check(fleet) == {}
 
 
@@ -41,7 +43,7 @@
 def test_request_rate_is_bounded_by_the_short_interval(gap):
     fleet = sim.SimFleet(f"asks-{gap}", routers=2, replicas=2)
     fleet.ready()
-    lease = fleet.parts["route-1"].lease
+    lease = fleet.processes["route-1"].lease
     before, began = lease.request_mark, fleet.loop.time
     apply_changes(fleet, 20, gap)
     assert lease.request_mark - before <= (fleet.loop.time - began) / constants.SHORT_LEASE_RENEWAL_INTERVAL_S + 1
--- a/tests/test_operator_random_sequences.py
+++ b/tests/test_operator_random_sequences.py
@@ -75,4 +75,4 @@
         fleet.operator(lambda n=name: ask(n, "GET"))
     fleet.run(2)
     assert {row[3] for row in responses} <= {200, 307} and 200 in {row[3] for row in responses}
-    assert {fleet.parts[n].members[0].machine.latest for n in fleet.names("keep")} == {2}
+    assert {fleet.processes[n].members[0].machine.latest for n in fleet.names("keep")} == {2}
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -67,7 +67,7 @@
     while f.loop.time - start < MOST and not caught_up(f, name):
         f.run(STEP)
     took = f.loop.time - start
-    leader = f.parts[f.leader()].members[0]
+    leader = f.processes[f.leader()].members[0]
     return Cost(
         changes,
         away,
@@ -84,7 +84,7 @@
     leader = f.leader()
     if not leader:
         return False
-    return f.parts[name].members[0].commit_index >= f.parts[leader].members[0].commit_index
+    return f.processes[name].members[0].commit_index >= f.processes[leader].members[0].commit_index
 
 
 def main():
--- a/tools/elections.py
+++ b/tools/elections.py
@@ -18,7 +18,7 @@
 
 def led(f, part=0):
     name = f.leader(part)
-    return bool(name) and f.parts[name].members[part].ready
+    return bool(name) and f.processes[name].members[part].ready
 
 
 def until(f, good):
@@ -27,7 +27,7 @@
     while not good() and f.loop.time - start < MOST:
         f.run(STEP)
         for name in f.names("route"):
-            if f.parts[name].lease.sequence() is None:
+            if f.processes[name].lease.sequence() is None:
                 worst = max(worst, f.loop.time - bare.setdefault(name, f.loop.time))
             else:
                 bare.pop(name, None)
@@ -45,10 +45,10 @@
     rest, more = until(
         f,
         lambda: all(
-            f.parts[n].lease.leader
-            and f.parts[n].lease.sequence()
+            f.processes[n].lease.leader
+            and f.processes[n].lease.sequence()
             and f.machines[f.leader() or "outside"].alive
-            and f.parts[n].lease.leader == f.settings[f.leader()]["address"]
+            and f.processes[n].lease.leader == f.settings[f.leader()]["address"]
             for n in f.names("route")
         ),
     )
@@ -68,7 +68,7 @@
         f.call_later(starts[name], lambda name=name: f.start(name))
     f.run(last)
     again = until(f, lambda: led(f))[0]
-    rest = until(f, lambda: all(f.machines[n].alive and f.parts[n].lease.sequence() for n in f.names("route")))[0]
+    rest = until(f, lambda: all(f.machines[n].alive and f.processes[n].lease.sequence() for n in f.names("route")))[0]
     return again, again + rest
 
 
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -142,7 +142,7 @@
         f = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
         f.ready(timeout_s=60)
         began = f.loop.time
-        parts = [f.parts[n] for n in f.names("route")]
+        parts = [f.processes[n] for n in f.names("route")]
         seen = collections.Counter(a for p in parts for a in p.gossip.view)
         count = f.net.count
         f.run(10)
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -140,7 +140,7 @@
     names = list(scenarios.SCENARIOS) if args.day == "all" else args.day.split(",")
     for name in names:
         if name not in scenarios.SCENARIOS:
-            parser.error(f"--day: no scenario is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
+            parser.error(f"--day: no day is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
     seeds = parse_seeds(parser, args)
     failed_total, failed = 0, 0
     for (name, seed, deployment, size), broken in run_jobs(
--- a/tools/simulator/final_checks.py
+++ b/tools/simulator/final_checks.py
@@ -10,8 +10,8 @@
 def check_control_plane(fleet):
     """Return the parts that lack a single leader or whose members are not exactly the live keepers."""
     errors, alive = [], [n for n in fleet.names("keep") if fleet.machines[n].alive]
-    for part in range(len(fleet.parts[alive[0]].members)):
-        members = {n: fleet.parts[n].members[part] for n in alive}
+    for part in range(len(fleet.processes[alive[0]].members)):
+        members = {n: fleet.processes[n].members[part] for n in alive}
         leaders = [n for n, s in members.items() if s.is_leader]
         expected = sorted(s.member_id for s in members.values())
         if len(leaders) != 1:
@@ -26,7 +26,7 @@
 
     def sample():
         listed = [n for n, row in fleet.list.past[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive]
-        roles = collections.Counter(fleet.parts[n].role for n in listed)
+        roles = collections.Counter(fleet.processes[n].role for n in listed)
         fleet.pool_samples.append((fleet.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
         fleet.call_later(interval_s, sample)
 
--- a/tools/simulator/fleet.py
+++ b/tools/simulator/fleet.py
@@ -28,7 +28,7 @@
         self.net = network.Network(self.loop)
         self.random = random.Random(f"{seed}/faults")
         self.plan, self.deployment, self.seed = deployments.DEPLOYMENTS[deployment], deployment, seed
-        self.machines, self.disks, self.parts, self.settings = {}, {}, {}, {}
+        self.machines, self.disks, self.processes, self.settings = {}, {}, {}, {}
         self.ledger, self.rows, self.writes, self.refused, self.unknown = [], [], [], [], []
         self.router_deaths = []
         self.id_suffix = ""  # distinguishes the writes when a scenario is run again
@@ -88,7 +88,7 @@
         environment = self.environment(machine, at)
         memory = replica_memory.Memory(environment, name, ledger=self.ledger_of(name))
         memory.fault = environment_module.ReplicaFaults(machine)
-        self.parts[name] = memory
+        self.processes[name] = memory
         self.net.apps[at] = (machine, stand_in_replica.Replica(memory, at, lambda: self.kill(name)))
 
     def define_settings(self, name, address, index, **more):
@@ -124,7 +124,7 @@
 
         keeper = keeper_module.Keeper(make(), settings, make, disk, token_hex)
         keeper.run()
-        self.parts[name] = keeper
+        self.processes[name] = keeper
         self.net.apps[settings["http"]] = (machine, operator_api.OperatorApi(keeper))
 
     def add_router(self, name, index):
@@ -137,7 +137,7 @@
         self.net.handlers[settings["address"]] = {}
         router = router_module.Router(self.environment(machine, settings["address"]), settings)
         router.run()
-        self.parts[name] = router
+        self.processes[name] = router
         self.net.apps[settings["http"]] = (machine, router_front.CompletionsFront(router))
 
     # --- faults and restarts of machines ---
@@ -191,7 +191,7 @@
 
     def leader(self, part=0):
         for name in self.names("keep"):
-            if self.machines[name].alive and self.parts[name].members[part].is_leader:
+            if self.machines[name].alive and self.processes[name].members[part].is_leader:
                 return name
         return None
 
@@ -219,8 +219,8 @@
         until = self.loop.time + timeout_s
         while self.loop.time < until:
             self.run(0.25)
-            routers = [self.parts[n] for n in self.names("route")]
-            roles = [self.parts[n].role for n in self.names("replica")]
+            routers = [self.processes[n] for n in self.names("route")]
+            roles = [self.processes[n].role for n in self.names("replica")]
             if all(r.lease.sequence() for r in routers) and (not routers or "none" not in roles):
                 if not routers and self.writes:
                     return
--- a/tools/simulator/scenario_base.py
+++ b/tools/simulator/scenario_base.py
@@ -56,9 +56,9 @@
     fleet.memory_may_expire = True
     for name in fleet.names("replica"):
         fleet.machines[name].mark_faulty(0.0)
-        for held in fleet.parts[name].held.values():
+        for held in fleet.processes[name].held.values():
             held["born"] = -1e9
-        fleet.parts[name].lapse()
+        fleet.processes[name].lapse()
 
 
 def restart_machine(fleet, name, at, back=2.0):
--- a/tools/simulator/scenarios_cuts.py
+++ b/tools/simulator/scenarios_cuts.py
@@ -22,7 +22,7 @@
 
     def watch():
         leader = fleet.leader()
-        if leader and fleet.parts[leader].members[0].machine.active > active:
+        if leader and fleet.processes[leader].members[0].machine.active > active:
             fleet.net.split([name], fleet.names("keep"))
         else:
             fleet.call_later(0.0001, watch)
@@ -40,7 +40,7 @@
     active = max(w["sequence"] for w in fleet.writes)
 
     def leased():
-        lease = fleet.parts[name].lease
+        lease = fleet.processes[name].lease
         if lease.valid_until - fleet.loop.time > 1.39:
             fleet.net.split([name], fleet.names("keep"))
             fleet.operator(lambda: fleet.apply("staged-then-dead"))
@@ -50,7 +50,7 @@
 
     def watch():
         leader = fleet.leader()
-        if leader and fleet.parts[leader].members[0].machine.latest > active:
+        if leader and fleet.processes[leader].members[0].machine.latest > active:
             base.kill_and_back(fleet, 3.0)(leader)
         else:
             fleet.call_later(0.0001, watch)
--- a/tools/simulator/scenarios_disks.py
+++ b/tools/simulator/scenarios_disks.py
@@ -69,7 +69,7 @@
             return
         leader = fleet.leader() or "keep-1"
         keeps = fleet.names("keep")
-        at = {n: fleet.parts[n].members[0].log.last for n in keeps}
+        at = {n: fleet.processes[n].members[0].log.last for n in keeps}
         late = min((n for n in keeps if n != leader), key=lambda n: at[n])
         wiped = next(n for n in keeps if n not in (leader, late))
         fleet.kill(wiped)
--- a/tools/simulator/scenarios_processes.py
+++ b/tools/simulator/scenarios_processes.py
@@ -15,8 +15,8 @@
     name = fleet.random.choice(fleet.names("route"))
 
     def watch():
-        held = any(fleet.parts[r].running and fleet.parts[r].role == "prefill" for r in fleet.names("replica"))
-        if fleet.parts[name].in_flight and held:
+        held = any(fleet.processes[r].running and fleet.processes[r].role == "prefill" for r in fleet.names("replica"))
+        if fleet.processes[name].in_flight and held:
             base.restart_machine(fleet, name, 0)
         else:
             fleet.call_later(0.002, watch)
@@ -66,7 +66,7 @@
     The replicas ignore the header with the configuration sequence, so only the router's own check is left.
     """
     for name in fleet.names("replica"):
-        fleet.parts[name].refuses_older = False
+        fleet.processes[name].refuses_older = False
     base.freeze_at(fleet, "before_connect")
     return 9
 
@@ -91,7 +91,7 @@
 
 def stop_router(fleet, name):
     def run():
-        fleet.parts[name].drain(15.0)
+        fleet.processes[name].drain(15.0)
         fleet.net.apps.pop(fleet.settings[name]["http"])  # the server stops listening, then completes its responses
         fleet.call_later(0.05, lambda: fleet.kill(name, planned=True))
         fleet.call_later(1.0, lambda: fleet.start(name))
@@ -101,7 +101,7 @@
 
 def stop_keeper(fleet, name):
     def run():
-        fleet.parts[name].drain()
+        fleet.processes[name].drain()
         fleet.call_later(0.0, lambda: fleet.kill(name, planned=True))
         fleet.call_later(1.0, lambda: fleet.start(name))
 
--- a/tools/simulator/scenarios_quorum.py
+++ b/tools/simulator/scenarios_quorum.py
@@ -117,7 +117,7 @@
     """Stop a keeper gracefully and for good."""
 
     def run():
-        fleet.parts[name].drain()
+        fleet.processes[name].drain()
         fleet.call_later(0.0, lambda: fleet.kill(name, planned=True))
 
     fleet.loop.spawn(fleet.machines[name], run)
--- a/tools/simulator/scenarios_releases.py
+++ b/tools/simulator/scenarios_releases.py
@@ -40,7 +40,7 @@
         fleet.start(name)
 
     def end():
-        part = fleet.parts[name]
+        part = fleet.processes[name]
         part.drain(DRAIN_TIMEOUT_S) if name.startswith("route") else part.drain()
         fleet.loop.at(0.0, None, lambda: fleet.kill(name))
         fleet.call_later(RESTART_S, change)
--- a/tools/simulator/scenarios_replicas.py
+++ b/tools/simulator/scenarios_replicas.py
@@ -14,7 +14,7 @@
 @base.scenario
 def replica_dark(fleet):
     name = fleet.random.choice(fleet.names("replica"))
-    fleet.call_later(3, lambda: fleet.parts[name].fault.update(dark_until=fleet.loop.time + 4))
+    fleet.call_later(3, lambda: fleet.processes[name].fault.update(dark_until=fleet.loop.time + 4))
     return 8
 
 
@@ -44,7 +44,7 @@
 @base.scenario
 def prefill_dies_holding(fleet):
     def act():
-        holding = [n for n in fleet.names("replica") if fleet.parts[n].held and fleet.machines[n].alive]
+        holding = [n for n in fleet.names("replica") if fleet.processes[n].held and fleet.machines[n].alive]
         if holding:
             name = fleet.random.choice(holding)
             fleet.kill(name)
@@ -64,8 +64,8 @@
 
 @base.scenario
 def slow_links(fleet):
-    fleet.call_later(2, lambda: [fleet.parts[n].fault.update(link=0.4) for n in fleet.names("replica")])
-    fleet.call_later(7, lambda: [fleet.parts[n].fault.pop("link", None) for n in fleet.names("replica")])
+    fleet.call_later(2, lambda: [fleet.processes[n].fault.update(link=0.4) for n in fleet.names("replica")])
+    fleet.call_later(7, lambda: [fleet.processes[n].fault.pop("link", None) for n in fleet.names("replica")])
     return 7
 
 
@@ -87,10 +87,10 @@
     for number, fault in enumerate(["short_body", "no_handle", "foreign_handle", "cut_after", "error_after"]):
         at = 2 + 1.5 * number
         fleet.call_later(
-            at, lambda fault=fault: [fleet.parts[r].fault.update({fault: 1}) for r in fleet.names("replica")]
+            at, lambda fault=fault: [fleet.processes[r].fault.update({fault: 1}) for r in fleet.names("replica")]
         )
         fleet.call_later(
-            at + 1, lambda fault=fault: [fleet.parts[r].fault.pop(fault, None) for r in fleet.names("replica")]
+            at + 1, lambda fault=fault: [fleet.processes[r].fault.pop(fault, None) for r in fleet.names("replica")]
         )
     return 11
 
@@ -98,8 +98,8 @@
 @base.scenario
 def replicas_bounce(fleet):
     """The decode replicas reject nearly everything for five seconds."""
-    fleet.call_later(3, lambda: [fleet.parts[n].fault.update(bounce="decode") for n in fleet.names("replica")])
-    fleet.call_later(8, lambda: [fleet.parts[n].fault.pop("bounce", None) for n in fleet.names("replica")])
+    fleet.call_later(3, lambda: [fleet.processes[n].fault.update(bounce="decode") for n in fleet.names("replica")])
+    fleet.call_later(8, lambda: [fleet.processes[n].fault.pop("bounce", None) for n in fleet.names("replica")])
     return 8
 
 
--- a/tools/simulator/scenarios_rollouts.py
+++ b/tools/simulator/scenarios_rollouts.py
@@ -66,7 +66,9 @@
     fleet.excluded_replicas = names[:2]
     for name in names[2:]:
         retire(fleet, name, 2)
-    fleet.call_later(9, lambda: rename(fleet, sorted(names[:2], key=lambda n: fleet.parts[n].role != "prefill"), 0, 8))
+    fleet.call_later(
+        9, lambda: rename(fleet, sorted(names[:2], key=lambda n: fleet.processes[n].role != "prefill"), 0, 8)
+    )
     return 25
 
 
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -67,10 +67,10 @@
     broken = final_checks.settle_and_check(f)
     whole = sum(rows[-1]["end"] == "whole" for rows in recorded.asks(f.rows).values())
     tables = {
-        "kept for neighbours": max(len(f.parts[n].backup_releases.entries) for n in f.names("route")),
-        "frees left": max(f.parts[n].handle_releases.count_pending() for n in f.names("route")),
-        "log entries": max(len(m.log.entries) for n in f.names("keep") for m in f.parts[n].members),
-        "documents": max(len(f.parts[n].members[0].machine.docs) for n in f.names("keep")),
+        "kept for neighbours": max(len(f.processes[n].backup_releases.entries) for n in f.names("route")),
+        "frees left": max(f.processes[n].handle_releases.count_pending() for n in f.names("route")),
+        "log entries": max(len(m.log.entries) for n in f.names("keep") for m in f.processes[n].members),
+        "documents": max(len(f.processes[n].members[0].machine.docs) for n in f.names("keep")),
     }
     return job, broken, (len(done), len(recorded.asks(f.rows)), whole, len(f.writes), tables)
 
