--- a/tools/simulator/final_checks.py
+++ b/tools/simulator/final_checks.py
@@ -25,7 +25,9 @@
     """Sample periodically whether the listed live replicas include both prefill and decode."""
 
     def sample():
-        listed = [n for n, row in fleet.list.past[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive]
+        listed = [
+            n for n, row in fleet.list.versions[-1][1].items() if row["state"] == "ready" and fleet.machines[n].alive
+        ]
         roles = collections.Counter(fleet.processes[n].role for n in listed)
         fleet.pool_samples.append((fleet.loop.time, len(listed) < 2 or bool(roles["prefill"] and roles["decode"])))
         fleet.call_later(interval_s, sample)
--- a/tools/simulator/scenarios_replicas.py
+++ b/tools/simulator/scenarios_replicas.py
@@ -134,5 +134,5 @@
 
 @base.scenario
 def list_down(fleet):
-    fleet.call_later(3, lambda: fleet.list.down(6))
+    fleet.call_later(3, lambda: fleet.list.add_outage(6))
     return 9
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -65,21 +65,21 @@
     f.load(f.plan["rate"], minutes * 60)
     f.run(minutes * 60 + GAP)
     broken = final_checks.settle_and_check(f)
-    whole = sum(rows[-1]["end"] == "whole" for rows in recorded.asks(f.rows).values())
+    whole = sum(rows[-1]["end"] == "whole" for rows in recorded.attempts_by_id(f.rows).values())
     tables = {
         "kept for neighbours": max(len(f.processes[n].backup_releases.entries) for n in f.names("route")),
         "frees left": max(f.processes[n].handle_releases.count_pending() for n in f.names("route")),
         "log entries": max(len(m.log.entries) for n in f.names("keep") for m in f.processes[n].members),
         "documents": max(len(f.processes[n].members[0].machine.docs) for n in f.names("keep")),
     }
-    return job, broken, (len(done), len(recorded.asks(f.rows)), whole, len(f.writes), tables)
+    return job, broken, (len(done), len(recorded.attempts_by_id(f.rows)), whole, len(f.writes), tables)
 
 
 def sample(fleet):
     """Map each daemon to (KiB resident, threads, open files, KiB in its data folder)."""
     found = {}
     for name, settings in fleet.settings.items():
-        pid = fleet.procs[name].pid
+        pid = fleet.processes[name].pid
         try:
             rows = dict(line.split(":", 1) for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines())
             files = len(os.listdir(f"/proc/{pid}/fd"))
@@ -102,11 +102,11 @@
     faults = ",".join(f"{at}:config" for at in range(3, int(seconds) - 5, 4))
     folder = tempfile.mkdtemp(prefix="mothshed-soak-")
 
-    def begun(fleet):
+    def on_serving(fleet):
         threading.Thread(target=watch, args=(fleet,), daemon=True).start()
 
     try:
-        rules, rows, ledger = fleet_run.run(folder, deployment, seconds, None, faults, 1, begun=begun)
+        rules, rows, ledger = fleet_run.run(folder, deployment, seconds, None, faults, 1, on_serving=on_serving)
     finally:
         stop.set()
         shutil.rmtree(folder, ignore_errors=True)
