--- a/mothshed/programs/operate.py
+++ b/mothshed/programs/operate.py
@@ -79,8 +79,8 @@
         try:
             given = dict(s.split("=", 1) for s in self.set)
             run = runbook.Run(runbook.load(self.book), given, self.keeper, self.router, by_hand)
-            run.go(self.dry_run)
-        except runbook.BookFault as e:
+            run.execute(self.dry_run)
+        except runbook.RunbookError as e:
             raise cappa.Exit(str(e), code=2) from e
         except runbook.StepFailed as e:
             raise cappa.Exit(f"stopped: {e}", code=1) from e
--- a/tests/test_runbooks.py
+++ b/tests/test_runbooks.py
@@ -1,4 +1,4 @@
-"""Runbooks: bad ones do nothing, and each shipped one is carried out on a real fleet."""
+"""Runbooks: invalid ones do nothing, and each shipped one runs on a real fleet."""
 
 import json
 import re
@@ -11,7 +11,7 @@
 import tools.fleet as fleet_module
 import tools.runbook as runbook
 
-GOOD = """
+VALID_RUNBOOK = """
 purpose: test
 needs: {name: a keeper}
 before: [{check: keepers_agree}]
@@ -33,48 +33,48 @@
         ("check: keeper_is_member, with", "check: keeper_is_member, ask: x, with", "steps.0"),
     ],
 )
-def test_a_bad_runbook_is_one_error_with_its_place(tmp_path, old, new, place):
+def test_an_invalid_runbook_gives_one_error_with_its_place(tmp_path, old, new, place):
     path = tmp_path / "b.yaml"
-    path.write_text(GOOD)
+    path.write_text(VALID_RUNBOOK)
     runbook.load(str(path))
-    path.write_text(GOOD.replace(old, new))
-    with pytest.raises(runbook.BookFault, match=re.escape(place)):
+    path.write_text(VALID_RUNBOOK.replace(old, new))
+    with pytest.raises(runbook.RunbookError, match=re.escape(place)):
         runbook.load(str(path))
 
 
-def test_unknown_book_and_wrong_needs():
-    with pytest.raises(runbook.BookFault, match="swap-keeper"):
+def test_unknown_runbook_and_wrong_values_are_errors():
+    with pytest.raises(runbook.RunbookError, match="swap-keeper"):
         runbook.load("no-such-book")
     book = runbook.load("swap-keeper")
-    with pytest.raises(runbook.BookFault, match="needs new"):
+    with pytest.raises(runbook.RunbookError, match="needs new"):
         runbook.Run(book, {"old": "x"}, ["127.0.0.1:1"], [], None)
-    with pytest.raises(runbook.BookFault, match="does not know odd"):
+    with pytest.raises(runbook.RunbookError, match="unknown name odd"):
         runbook.Run(book, {"old": "x", "new": "y", "odd": "z"}, ["127.0.0.1:1"], [], None)
 
 
-class Hands:
-    """Does what a runbook asks a person to do, on a fleet of this test."""
+class ManualSteps:
+    """Performs, on the fleet of a test, the steps that a runbook asks of a person."""
 
     def __init__(self, fleet):
         self.fleet = fleet
-        self.table = [
+        self.actions = [
             (r"start mothshed-keep for (\S+)", self.new_keeper),
             (r"stop (keep-\d) politely", self.stop),
             (r"wipe the data folder of (\S+)", self.wipe),
             (r"stop the router at (\S+)", self.stop_router),
             (r"start the router at (\S+)", self.start_router),
-            (r"start the replica (\S+)", lambda n: fleet.add_replica(n, 9)),
-            (r"list (\S+) as leaving", lambda n: fleet.set_listed({"name": n, "state": "leaving"})),
+            (r"start the replica (\S+)", lambda name: fleet.add_replica(name, 9)),
+            (r"list (\S+) as leaving", lambda name: fleet.set_listed({"name": name, "state": "leaving"})),
             (r"stop (replica-\d)", self.fleet.kill),
         ]
 
     def __call__(self, text):
-        for pattern, act in self.table:
-            found = re.search(pattern, text)
-            if found:
-                act(found.group(1))
+        for pattern, action in self.actions:
+            match = re.search(pattern, text)
+            if match:
+                action(match.group(1))
                 return
-        raise AssertionError(f"nobody knows how to: {text}")
+        raise AssertionError(f"no action for the step: {text}")
 
     def new_keeper(self, name):
         seeds = self.fleet.settings["keep-1"]["seeds"]
@@ -89,40 +89,42 @@
         shutil.rmtree(self.fleet.settings[name]["data"])
         self.fleet.relaunch(name)
 
-    def router(self, address):
-        return next(n for n, s in self.fleet.settings.items() if s["http"] == address)
+    def router_name(self, address):
+        return next(name for name, settings in self.fleet.settings.items() if settings["http"] == address)
 
     def stop_router(self, address):
-        self.stop(self.router(address))
+        self.stop(self.router_name(address))
 
     def start_router(self, address):
-        self.fleet.relaunch(self.router(address))
+        self.fleet.relaunch(self.router_name(address))
 
 
-def test_every_shipped_runbook_on_a_fleet(tmp_path):
+def test_every_shipped_runbook_runs_on_a_fleet(tmp_path):
     with fleets.serving(tmp_path, 3, 3) as fleet:
-        routers = [s["http"] for n, s in fleet.settings.items() if n.startswith("route")]
+        routers = [settings["http"] for name, settings in fleet.settings.items() if name.startswith("route")]
         lines = []
 
-        def go(title, dry=False, **given):
-            runbook.Run(runbook.load(title), given, fleet.keepers(), routers, Hands(fleet), lines.append).go(dry)
+        def execute(title, dry_run=False, **values):
+            runbook.Run(
+                runbook.load(title), values, fleet.keepers(), routers, ManualSteps(fleet), lines.append
+            ).execute(dry_run)
 
         new = tmp_path / "new.json"
         new.write_text(json.dumps(fleet_module.document("patinetes", note="second")))
-        go("roll-out", dry=True, file=str(new))
+        execute("roll-out", dry_run=True, file=str(new))
         assert fleet.config()["latest"] == 1 and any(line.startswith("would  do     apply_document") for line in lines)
-        go("roll-out", file=str(new))
+        execute("roll-out", file=str(new))
         assert fleet.config()["document"]["note"] == "second"
-        go("roll-back", sequence=1)
+        execute("roll-back", sequence=1)
         assert (fleet.config()["active"], "note" in fleet.config()["document"]) == (3, False)
         with pytest.raises(runbook.StepFailed, match="sequence 99"):
-            go("roll-back", sequence=99)
-        go("diagnose-bounces")
-        go("replace-replica", old="replica-3", new="replica-9")
+            execute("roll-back", sequence=99)
+        execute("diagnose-bounces")
+        execute("replace-replica", old="replica-3", new="replica-9")
         with pytest.raises(runbook.StepFailed, match="replica-3"):
-            go("replace-replica", old="replica-3", new="replica-10")
+            execute("replace-replica", old="replica-3", new="replica-10")
         assert "replica-10" not in fleet.processes  # stopped before the first step
-        go("drain-router", address=routers[1])
-        go("recover-disk-machine", name="keep-2")
-        go("swap-keeper", old=fleet.leader(), new="keep-4")
+        execute("drain-router", address=routers[1])
+        execute("recover-disk-machine", name="keep-2")
+        execute("swap-keeper", old=fleet.leader(), new="keep-4")
         assert fleet.config()["active"] == 3
--- a/tools/read_back.py
+++ b/tools/read_back.py
@@ -1,27 +1,29 @@
-"""Reads the configuration's history back at the end of a run, with what became of each write."""
+"""Reads back the configuration history at the end of a run, with the outcome of each write."""
 
 import collections.abc
 import typing
 import urllib.parse
 
-IDS_IN_ONE_QUESTION = 40  # ids; keeps the path short
-HISTORY = "/configuration/history"
-Answer = dict[str, typing.Any]
+IDS_PER_QUERY = 40  # keeps the path short
+HISTORY_PATH = "/configuration/history"
+Response = dict[str, typing.Any]
 
 
-def read_back(get: collections.abc.Callable[[str], Answer | None], ids: collections.abc.Sequence[str]) -> Answer | None:
-    """The history with `taken`, id -> sequence, for these writes; None if it could not be read.
+def read_back(
+    get: collections.abc.Callable[[str], Response | None], ids: collections.abc.Sequence[str]
+) -> Response | None:
+    """Return the history with `taken`, id -> sequence, for these writes; None if it could not be read.
 
-    get: asks for a path and gives the answer, or None if there was none.
+    get: requests a path and returns the response, or None if there was none.
     """
-    final = get(HISTORY)
+    final = get(HISTORY_PATH)
     if final is None:
         return None
     final = {**final, "taken": {}}
-    for at in range(0, len(ids), IDS_IN_ONE_QUESTION):
-        query = urllib.parse.urlencode([("id", name) for name in ids[at : at + IDS_IN_ONE_QUESTION]])
-        said = get(f"{HISTORY}?{query}")
-        if said is None:
+    for start in range(0, len(ids), IDS_PER_QUERY):
+        query = urllib.parse.urlencode([("id", request_id) for request_id in ids[start : start + IDS_PER_QUERY]])
+        response = get(f"{HISTORY_PATH}?{query}")
+        if response is None:
             return None
-        final["taken"].update(said["taken"])
+        final["taken"].update(response["taken"])
     return final
--- a/tools/relay.py
+++ b/tools/relay.py
@@ -1,9 +1,10 @@
 """A relay on loopback between real processes: cuts, one-way cuts and slow links.
 
-Each daemon tells others the relay's address as its own (`address`) and listens
-elsewhere (`listen`), so that every connection between two daemons passes here. Its
-first record says who opened it; from then on bytes flow by pair and direction.
-What meets a cut is held and comes late, if the ends still stand, as on a network.
+Each daemon advertises the relay's address as its own (`address`) and listens
+elsewhere (`listen`), so that every connection between two daemons goes through the
+relay. The first record of a connection names the daemon that opened it; the bytes
+are then forwarded per pair and direction. Bytes that meet a cut are delayed until
+it heals, if both ends are still connected.
 """
 
 import socket
@@ -13,73 +14,73 @@
 import mothshed.transport.link as link
 import mothshed.transport.records as records
 
-LOOK = 0.02  # s; a held pump looks this often whether its cut is healed
+CUT_POLL_INTERVAL_S = 0.02  # how often a blocked link checks whether its cut has healed
 
 
 class Relays:
     def __init__(self):
-        self.names, self.doors = {}, []  # address -> name of the daemon that tells it
+        self.daemon_names, self.listeners = {}, []  # address -> name of the daemon that advertises it
         self.cuts, self.delay = set(), 0.0
-        self.open = True
+        self.is_open = True
 
-    def add(self, name, address, goal):
-        """Listens at the address that `name` tells others; passes on to where it listens."""
-        door = socket.create_server(link.parse_address(address), backlog=128)
-        self.names[address] = name
-        self.doors.append(door)
-        threading.Thread(target=self.accept, args=(door, name, goal), daemon=True).start()
+    def add(self, name, address, destination):
+        """Listen at the address that daemon `name` advertises and forward to where it listens."""
+        listener = socket.create_server(link.parse_address(address), backlog=128)
+        self.daemon_names[address] = name
+        self.listeners.append(listener)
+        threading.Thread(target=self.accept, args=(listener, name, destination), daemon=True).start()
 
-    def cut(self, some, rest, both=True):
-        self.cuts |= {(a, b) for a in some for b in rest}
-        if both:
-            self.cuts |= {(b, a) for a in some for b in rest}
+    def cut(self, names, others, both_directions=True):
+        self.cuts |= {(name, other) for name in names for other in others}
+        if both_directions:
+            self.cuts |= {(other, name) for name in names for other in others}
 
     def heal(self):
         self.cuts, self.delay = set(), 0.0
 
-    def accept(self, door, name, goal):
-        while self.open:
+    def accept(self, listener, name, destination):
+        while self.is_open:
             try:
-                near = door.accept()[0]
+                client = listener.accept()[0]
             except OSError:
                 return
-            threading.Thread(target=self.join, args=(near, name, goal), daemon=True).start()
+            threading.Thread(target=self.connect, args=(client, name, destination), daemon=True).start()
 
-    def join(self, near, name, goal):
+    def connect(self, client, name, destination):
         try:
-            head = near.recv(records.HEADER.size, socket.MSG_WAITALL)
-            parsed = records.CODEC.parse_header(head)
-            data = near.recv(parsed.size, socket.MSG_WAITALL)
-            who = self.names.get(records.CODEC.parse(parsed, data).body["address"], "")
-            self.hold(who, name)
-            far = socket.create_connection(link.parse_address(goal), 1.0)
-            far.settimeout(None)
-            far.sendall(head + data)
+            header = client.recv(records.HEADER.size, socket.MSG_WAITALL)
+            parsed = records.CODEC.parse_header(header)
+            data = client.recv(parsed.size, socket.MSG_WAITALL)
+            opener = self.daemon_names.get(records.CODEC.parse(parsed, data).body["address"], "")
+            self.wait_for_link(opener, name)
+            server = socket.create_connection(link.parse_address(destination), 1.0)
+            server.settimeout(None)
+            server.sendall(header + data)
         except (OSError, KeyError, records.RecordError, records.struct.error):
-            near.close()
+            client.close()
             return
-        for conn in (near, far):
+        for conn in (client, server):
             conn.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        threading.Thread(target=self.pump, args=(near, far, who, name), daemon=True).start()
-        self.pump(far, near, name, who)
+        threading.Thread(target=self.pump, args=(client, server, opener, name), daemon=True).start()
+        self.pump(server, client, name, opener)
 
-    def hold(self, one, other):
+    def wait_for_link(self, sender, receiver):
         if self.delay:
             time.sleep(self.delay)
-        while self.open and (one, other) in self.cuts:
-            time.sleep(LOOK)
+        while self.is_open and (sender, receiver) in self.cuts:
+            time.sleep(CUT_POLL_INTERVAL_S)
 
-    def pump(self, source, goal, one, other):
+    def pump(self, source, destination, sender, receiver):
         try:
             while data := source.recv(65536):
-                self.hold(one, other)
-                goal.sendall(data)
+                self.wait_for_link(sender, receiver)
+                destination.sendall(data)
         except OSError:
             pass
-        for conn in (source, goal):
+        for conn in (source, destination):
             link.close_socket(conn)
 
     def stop(self):
-        self.open = False
-        for door in self.doors:
-            link.close_socket(door)
+        self.is_open = False
+        for listener in self.listeners:
+            link.close_socket(listener)
--- a/tools/runbook_verbs.py
+++ b/tools/runbook_verbs.py
@@ -1,9 +1,9 @@
-"""What a runbook's steps can check, do and ask for.
+"""The checks and actions of runbook steps.
 
-A check returns None when it holds and a text that says what is wrong otherwise;
-it only reads. A deed changes something through the system's own HTTP fronts and
-returns what it did. Hands are things no HTTP front does, such as starting a
-process: they are asked of a person, or of the caller's own function.
+A check only reads; it returns None if it holds and otherwise a text that says what
+is wrong. An action changes something through the HTTP interfaces of the system and
+returns what it did. Steps without an HTTP interface, such as starting a process,
+are asked of a person or of a function of the caller.
 """
 
 import re
@@ -12,184 +12,204 @@
 import mothshed.programs.ask as ask
 import mothshed.programs.document_file as document_file
 
-CHECKS, DEEDS = {}, {}
+CHECKS, ACTIONS = {}, {}
 
 
-def check(call):
-    CHECKS[call.__name__] = call
-    return call
+def check(function):
+    CHECKS[function.__name__] = function
+    return function
 
 
-def deed(call):
-    DEEDS[call.__name__] = call
-    return call
+def action(function):
+    ACTIONS[function.__name__] = function
+    return function
 
 
-def condition(address):
+def read_condition(address):
     return ask.once_each([address], "/condition").get(address)
 
 
-def keepers(book):
-    return {a: c for a, c in ask.once_each(book.keepers, "/condition").items() if c}
+def read_keepers(run):
+    return {address: page for address, page in ask.once_each(run.keepers, "/condition").items() if page}
 
 
 @check
-def keepers_agree(book):
-    """Every part has one leader that its members agree on."""
-    found = keepers(book)
-    if not found:
+def keepers_agree(run):
+    """Every part has one leader, on which its members agree."""
+    conditions = read_keepers(run)
+    if not conditions:
         return "no keeper answers"
-    for part in range(len(next(iter(found.values()))["parts"])):
-        leaders = {c["parts"][part]["leader"] for c in found.values() if c["parts"][part]["state"] != "stopped"}
+    for part in range(len(next(iter(conditions.values()))["parts"])):
+        leaders = {
+            page["parts"][part]["leader"] for page in conditions.values() if page["parts"][part]["state"] != "stopped"
+        }
         if len(leaders) != 1 or "" in leaders:
             return f"part {part}: its members name {sorted(leaders) or 'no'} as leader"
     return None
 
 
-def seats(book):
-    """Map each part to the names of its members, as the leader has them."""
-    found = {}
-    for c in keepers(book).values():
-        for row in c["parts"]:
+def members_by_part(run):
+    """Map each part to the names of its members, as its leader reports them."""
+    members = {}
+    for page in read_keepers(run).values():
+        for row in page["parts"]:
             if row["state"] == "leader":
-                found[row["part"]] = sorted(m.split("/")[0] for m in row["members"])
-    return found
+                members[row["part"]] = sorted(member_id.split("/")[0] for member_id in row["members"])
+    return members
 
 
 @check
-def keeper_is_member(book, name):
-    missing = [p for p, names in sorted(seats(book).items()) if name not in names] or (not seats(book) and ["any"])
+def keeper_is_member(run, name):
+    missing = [part for part, names in sorted(members_by_part(run).items()) if name not in names] or (
+        not members_by_part(run) and ["any"]
+    )
     return f"{name} is not a member of part {missing}" if missing else None
 
 
 @check
-def keeper_is_not_member(book, name):
-    present = [p for p, names in sorted(seats(book).items()) if name in names] or (not seats(book) and ["unknown"])
+def keeper_is_not_member(run, name):
+    present = [part for part, names in sorted(members_by_part(run).items()) if name in names] or (
+        not members_by_part(run) and ["unknown"]
+    )
     return f"{name} is still a member of part {present}" if present else None
 
 
 @check
-def members_count(book, count):
-    wrong = {p: names for p, names in seats(book).items() if len(names) != int(count)}
-    return f"expected {count} members: {wrong or 'no leader answers'}" if wrong or not seats(book) else None
+def members_count(run, count):
+    invalid = {part: names for part, names in members_by_part(run).items() if len(names) != int(count)}
+    return (
+        f"expected {count} members: {invalid or 'no leader answers'}" if invalid or not members_by_part(run) else None
+    )
 
 
 @check
-def members_answer(book):
-    """Every member of every part answers, under the id the leader knows, with a vote."""
-    found = keepers(book)
-    rows = [row for c in found.values() for row in c["parts"] if row["state"] == "leader"]
-    parts = {row["part"] for c in found.values() for row in c["parts"]}
+def members_answer(run):
+    """Every member of every part responds as a voter under the id that the leader knows."""
+    conditions = read_keepers(run)
+    rows = [row for page in conditions.values() for row in page["parts"] if row["state"] == "leader"]
+    parts = {row["part"] for page in conditions.values() for row in page["parts"]}
     if not parts or parts != {row["part"] for row in rows}:
         return "not every part has a leader that answers"
     pages = ask.once_each(sorted({http for row in rows for http in row["seats"].values()}), "/condition")
     for row in rows:
-        for who, http in row["seats"].items():
+        for member_id, http in row["seats"].items():
             page = pages[http]
-            if not page or page["who"] != who or page["parts"][row["part"]]["state"] not in ("leader", "follower"):
-                return f"part {row['part']}: member {who} does not answer at {http}"
+            if (
+                not page
+                or page["who"] != member_id
+                or page["parts"][row["part"]]["state"] not in ("leader", "follower")
+            ):
+                return f"part {row['part']}: member {member_id} does not answer at {http}"
     return None
 
 
 @check
-def no_change_under_way(book):
-    status, said = ask.any_of(book.keepers, "GET", "/configuration")
+def no_change_under_way(run):
+    status, response = ask.any_of(run.keepers, "GET", "/configuration")
     if status != 200:
-        return f"the configuration cannot be read: {said}"
-    if said["active"] != said["latest"]:
-        return f"sequence {said['latest']} is accepted but {said['active']} is active"
-    book.facts["active"] = said["active"]
+        return f"the configuration cannot be read: {response}"
+    if response["active"] != response["latest"]:
+        return f"sequence {response['latest']} is accepted but {response['active']} is active"
+    run.facts["active"] = response["active"]
     return None
 
 
 @check
-def sequence_known(book, sequence):
-    status, said = ask.any_of(book.keepers, "GET", "/configuration/history")
-    known = [r["sequence"] for r in said.get("rows", [])]
+def sequence_known(run, sequence):
+    status, response = ask.any_of(run.keepers, "GET", "/configuration/history")
+    known = [row["sequence"] for row in response.get("rows", [])]
     return None if int(sequence) in known else f"sequence {sequence} is not in the history {known}"
 
 
 @check
-def document_valid(book, file):
-    found = configuration.validation_errors(document_file.read(file))
-    return "; ".join(found) or None
+def document_valid(run, file):
+    errors = configuration.validation_errors(document_file.read(file))
+    return "; ".join(errors) or None
 
 
 @check
-def all_routers_serve(book):
-    """Every router serves, under the active sequence, with both roles in sight."""
-    if not book.routers:
+def all_routers_serve(run):
+    """Every router serves under the active sequence and sees replicas of both roles."""
+    if not run.routers:
         return "no --router was given"
-    status, said = ask.any_of(book.keepers, "GET", "/configuration")
-    for address, c in ask.once_each(book.routers, "/condition").items():
-        if not c or not c["serving"]:
+    status, response = ask.any_of(run.keepers, "GET", "/configuration")
+    for address, page in ask.once_each(run.routers, "/condition").items():
+        if not page or not page["serving"]:
             return f"{address} does not serve"
-        if c["sequence"] != said.get("active"):
-            return f"{address} serves under {c['sequence']}, active is {said.get('active')}"
-        if len(c["replicas"]) < 2:
-            return f"{address} sees only the replicas {c['replicas']}"
+        if page["sequence"] != response.get("active"):
+            return f"{address} serves under {page['sequence']}, active is {response.get('active')}"
+        if len(page["replicas"]) < 2:
+            return f"{address} sees only the replicas {page['replicas']}"
     return None
 
 
 @check
-def router_serves(book, address):
-    c = condition(address)
-    return None if c and c["serving"] else f"{address} does not serve"
+def router_serves(run, address):
+    page = read_condition(address)
+    return None if page and page["serving"] else f"{address} does not serve"
 
 
 @check
-def router_gone(book, address):
-    return f"{address} still answers" if condition(address) else None
+def router_gone(run, address):
+    return f"{address} still answers" if read_condition(address) else None
 
 
 @check
-def replica_seen(book, name):
-    """Every router would place requests upon it."""
-    blind = [a for a, c in ask.once_each(book.routers, "/condition").items() if not c or name not in c["replicas"]]
-    return f"{name} is not usable at {blind}" if blind or not book.routers else None
+def replica_seen(run, name):
+    """Every router would send requests to it."""
+    unaware = [
+        address
+        for address, page in ask.once_each(run.routers, "/condition").items()
+        if not page or name not in page["replicas"]
+    ]
+    return f"{name} is not usable at {unaware}" if unaware or not run.routers else None
 
 
 @check
-def replica_left_alone(book, name):
-    """No router places requests upon it."""
-    using = [a for a, c in ask.once_each(book.routers, "/condition").items() if c and name in c["replicas"]]
-    return f"{name} is still placed upon at {using}" if using or not book.routers else None
+def replica_left_alone(run, name):
+    """No router sends requests to it."""
+    using = [
+        address
+        for address, page in ask.once_each(run.routers, "/condition").items()
+        if page and name in page["replicas"]
+    ]
+    return f"{name} still gets requests from {using}" if using or not run.routers else None
 
 
-@deed
-def apply_document(book, file):
-    return applied(book, document_file.read(file))
+@action
+def apply_document(run, file):
+    return apply_over_active(run, document_file.read(file))
 
 
-@deed
-def apply_again(book, sequence):
-    """Applies an earlier document anew, as the newest sequence."""
-    status, said = ask.any_of(book.keepers, "GET", "/configuration/history")
-    row = next(r for r in said["rows"] if r["sequence"] == int(sequence))
-    return applied(book, row["document"])
+@action
+def apply_again(run, sequence):
+    """Apply an earlier document again, as the newest sequence."""
+    status, response = ask.any_of(run.keepers, "GET", "/configuration/history")
+    row = next(row for row in response["rows"] if row["sequence"] == int(sequence))
+    return apply_over_active(run, row["document"])
 
 
-def applied(book, document):
-    code, said = ask.apply(book.keepers, book.facts["active"], document, "runbook", book.mark())
+def apply_over_active(run, document):
+    code, response = ask.apply(run.keepers, run.facts["active"], document, "runbook", run.new_request_id())
     if code:
-        raise RuntimeError(f"not applied (exit {code}): {said}")
-    return f"accepted as sequence {said['sequence']}"
+        raise RuntimeError(f"not applied (exit {code}): {response}")
+    return f"accepted as sequence {response['sequence']}"
 
 
-@deed
-def count_bounces(book):
-    """Says why requests were bounced, per router, and what each cause means."""
+@action
+def count_bounces(run):
+    """Report why requests were rejected, per router, and what each cause means."""
     lines = []
-    for address, text in ask.once_each(book.routers, "/metrics", text=True).items():
+    for address, text in ask.once_each(run.routers, "/metrics", text=True).items():
         rows = dict(re.findall(r"mothshed_bounce_(\w+)_total (\d+)", text or ""))
-        lines += [f"{address}: {n} x {cause}: {MEANING.get(cause, '')}" for cause, n in sorted(rows.items())]
-    return "\n".join(lines) or "no router has bounced a request"
+        lines += [f"{address}: {count} x {cause}: {MEANING.get(cause, '')}" for cause, count in sorted(rows.items())]
+    return "\n".join(lines) or "no router has rejected a request"
 
 
 MEANING = {
     "no_lease": "no lease on the configuration: look at the keepers (majority, disks, cuts)",
-    "no_configuration": "no configuration has reached this router: apply one, or look at its way to the keepers",
-    "no_pair": "no reader and writer with a free place: too little capacity, a wrong selector, or replicas in doubt",
-    "queue_full": "more arrived than the queues hold: a crowd; look at tenants' shares and capacity",
+    "no_configuration": "no configuration has reached this router: apply one, or check its connection to the keepers",
+    "no_pair": "no prefill and decode replica with free slots: low capacity, wrong selector, or suspect replicas",
+    "queue_full": "more requests arrived than the queues hold; look at tenants' shares and capacity",
     "sends_failed": "replicas refused or were unreachable: look at the replicas",
 }
