--- a/tests/test_log_transfer.py
+++ b/tests/test_log_transfer.py
@@ -147,7 +147,7 @@
 
 
 def test_storage_and_traffic_do_not_grow_with_the_number_of_changes():
-    few, many = changes.one(100), changes.one(400)
+    few, many = changes.measure_changes(100), changes.measure_changes(400)
     assert many.sent_to_catch_up < 2 * few.sent_to_catch_up + constants.SNAPSHOT_CHUNK_CHARS
     assert many.entries <= constants.SNAPSHOT_INTERVAL_ENTRIES + constants.MAX_RETAINED_LOG_ENTRIES
     assert many.log < 2 * few.log + constants.MAX_RETAINED_LOG_BYTES
--- a/tests/test_releases.py
+++ b/tests/test_releases.py
@@ -69,7 +69,7 @@
 
 def test_this_release_has_its_own_file():
     assert RECORDED[f"records-{transport_constants.RECORD_FORMAT_VERSION}"] == {
-        kind.name: release_fixture.kind_row(kind) for kind in record_kinds.KINDS
+        kind.name: release_fixture.describe_kind(kind) for kind in record_kinds.KINDS
     }
 
 
--- a/tools/changes.py
+++ b/tools/changes.py
@@ -1,11 +1,11 @@
-"""What many changes of the configuration cost the keepers, with one of them away meanwhile.
+"""Measures what many configuration changes cost the keepers while one of them is down.
 
 python -m tools.changes --counts 50,200,1000
 
 Prints, for each number of changes: bytes that keepers send to each other, while a
 follower is down and from its return until it has caught up; the entries and bytes of
 the log in memory; bytes on the disk; the size of the snapshot; the time to catch up.
-Simulated: the product's own keepers over a network that keeps a count of bytes.
+The real keepers run on a simulated network that counts bytes.
 """
 
 import argparse
@@ -13,12 +13,12 @@
 import json
 
 import mothshed.transport.records as records
-import tools.simulator.fleet as fleet
+import tools.simulator.fleet as fleet_module
 
-GAP = 0.05  # s; between two changes
-SETTLE = 3.0  # s; after the last change, before the follower is back
-STEP = 0.01  # s; how finely the simulator is looked at
-MOST = 20.0  # s; catching up is given up after
+CHANGE_INTERVAL_S = 0.05  # between two changes
+SETTLE_S = 3.0  # from the last change until the follower is started
+POLL_INTERVAL_S = 0.01  # how often the state of the simulator is checked
+MAX_CATCH_UP_S = 20.0  # time limit of catching up
 
 
 @dataclasses.dataclass(frozen=True)
@@ -36,55 +36,57 @@
 
 
 class ByteCount:
-    """Counts the bytes of records between keepers; it takes the place of the network's `send`."""
+    """Counts the bytes of records between keepers; it replaces the network's `send`."""
 
-    def __init__(self, f):
-        self.f, self.total, self.inner = f, 0, f.net.send
-        f.net.send = self
+    def __init__(self, fleet):
+        self.fleet, self.total, self.send = fleet, 0, fleet.net.send
+        fleet.net.send = self
 
-    def __call__(self, machine, sender, goal, kind, body):
-        if machine.name.startswith("keep") and goal in self.f.seeds:
+    def __call__(self, machine, sender, destination, kind, body):
+        if machine.name.startswith("keep") and destination in self.fleet.seeds:
             self.total += len(records.pack(kind, **body))
-        self.inner(machine, sender, goal, kind, body)
+        self.send(machine, sender, destination, kind, body)
 
-    def take(self):
+    def reset(self):
         total, self.total = self.total, 0
         return total
 
 
-def one(changes, seed=1):
-    """The costs of this many changes."""
-    f = fleet.SimFleet(f"changes.{seed}", routers=1, replicas=2)
-    f.ready()
-    name = next(n for n in f.names("keep") if n != f.leader())
-    f.kill(name)
-    count = ByteCount(f)
-    for n in range(changes):
-        f.call_later(n * GAP, lambda n=n: f.operator(lambda: f.apply(f"change-{n}")))
-    f.run(changes * GAP + SETTLE)
-    away, start = count.take(), f.loop.time
-    f.start(name)
-    while f.loop.time - start < MOST and not caught_up(f, name):
-        f.run(STEP)
-    took = f.loop.time - start
-    leader = f.parts[f.leader()].members[0]
+def measure_changes(changes, seed=1):
+    """Measure the cost of this many changes."""
+    fleet = fleet_module.SimFleet(f"changes.{seed}", routers=1, replicas=2)
+    fleet.ready()
+    name = next(name for name in fleet.names("keep") if name != fleet.leader())
+    fleet.kill(name)
+    byte_count = ByteCount(fleet)
+    for number in range(changes):
+        fleet.call_later(
+            number * CHANGE_INTERVAL_S, lambda number=number: fleet.operator(lambda: fleet.apply(f"change-{number}"))
+        )
+    fleet.run(changes * CHANGE_INTERVAL_S + SETTLE_S)
+    away, start = byte_count.reset(), fleet.loop.time
+    fleet.start(name)
+    while fleet.loop.time - start < MAX_CATCH_UP_S and not caught_up(fleet, name):
+        fleet.run(POLL_INTERVAL_S)
+    catch_up_time = fleet.loop.time - start
+    leader = fleet.parts[fleet.leader()].members[0]
     return Cost(
         changes,
         away,
-        count.take(),
+        byte_count.reset(),
         len(leader.log.entries),
         leader.log.bytes_from(leader.log.base + 1),
-        sum(len(f.disks[f.leader()].read(n)) for n in f.disks[f.leader()].names()),
+        sum(len(fleet.disks[fleet.leader()].read(name)) for name in fleet.disks[fleet.leader()].names()),
         len(json.dumps(leader.log.snapshot)) if leader.log.snapshot else 0,
-        took,
+        catch_up_time,
     )
 
 
-def caught_up(f, name):
-    leader = f.leader()
+def caught_up(fleet, name):
+    leader = fleet.leader()
     if not leader:
         return False
-    return f.parts[name].members[0].commit_index >= f.parts[leader].members[0].commit_index
+    return fleet.parts[name].members[0].commit_index >= fleet.parts[leader].members[0].commit_index
 
 
 def main():
@@ -94,7 +96,7 @@
     names = [field.name for field in dataclasses.fields(Cost)]
     print("| " + " | ".join(names) + " |\n|" + "---|" * len(names))
     for changes in map(int, args.counts.split(",")):
-        row = dataclasses.astuple(one(changes))
+        row = dataclasses.astuple(measure_changes(changes))
         print("| " + " | ".join(f"{cell:.2f}" if isinstance(cell, float) else str(cell) for cell in row) + " |")
 
 
--- a/tools/deployments.py
+++ b/tools/deployments.py
@@ -1,7 +1,7 @@
-"""The deployments that the stand-in fleets play: zones, machines, replicas, load and tenants."""
+"""The deployments of the stand-in fleets: zones, machines, replicas, load and tenants."""
 
-PLAIN_SERVICE = "slips"  # a service without a model, which every stand-in fleet has beside its models
-PLAIN_REPLICA = "plain-1"  # its one replica; whatever orders it breaks a rule of the judge
+PLAIN_SERVICE = "slips"  # a service without a model that every stand-in fleet has in addition
+PLAIN_REPLICA = "plain-1"  # its one replica; the checker reports any order to it
 PLAIN_POOL = {"selector": {"app": PLAIN_SERVICE}, "split": False}
 
 DEPLOYMENTS = {
--- a/tools/service_table.py
+++ b/tools/service_table.py
@@ -1,4 +1,4 @@
-"""The table of service per day and kind of request.
+"""Prints the table of service per scenario and kind of request.
 
 python -m tools.service_table --seeds 1-3 --jobs 8 > docs/service.md
 """
@@ -12,27 +12,32 @@
 
 
 def main():
-    seeds, count = simulate.parse_seeds_and_jobs("service per day and kind of request", "1-3")
+    seeds, job_count = simulate.parse_seeds_and_jobs("service per day and kind of request", "1-3")
     print("| day | deployment | kind | asked | served | begun in 1 s | in time |\n|---|---|---|---|---|---|---|")
-    jobs = [(n, s, d, "brief") for n in scenarios.SCENARIOS for d in sorted(deployments.DEPLOYMENTS) for s in seeds]
+    jobs = [
+        (name, seed, deployment, "brief")
+        for name in scenarios.SCENARIOS
+        for deployment in sorted(deployments.DEPLOYMENTS)
+        for seed in seeds
+    ]
     sums = collections.defaultdict(lambda: [0, 0, 0, 0])
-    for (name, seed, deployment, _size), (_broken, table) in simulate.run_jobs(jobs, count, day_figures):
+    for (name, seed, deployment, _size), (_broken, table) in simulate.run_jobs(jobs, job_count, run_job):
         for kind, row in table.items():
-            sums[kind] = [a + b for a, b in zip(sums[kind], row, strict=False)]
+            sums[kind] = [total + count for total, count in zip(sums[kind], row, strict=False)]
         if seed == seeds[-1]:
             for kind, (asked, *rest) in sorted(sums.items()):
                 print(
                     f"| {name} | {deployment} | {kind} | {asked} | "
-                    + " | ".join(f"{100 * n / asked:.1f} %" for n in rest)
+                    + " | ".join(f"{100 * count / asked:.1f} %" for count in rest)
                     + " |",
                     flush=True,
                 )
             sums.clear()
 
 
-def day_figures(job):
-    broken, f = simulate.run_scenario(*job)
-    return job, (broken, dict(service.figures(f.rows)))
+def run_job(job):
+    broken, fleet = simulate.run_scenario(*job)
+    return job, (broken, dict(service.count_by_kind(fleet.rows)))
 
 
 if __name__ == "__main__":
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -61,7 +61,7 @@
         broken["nothing bounced"] = judge_traffic.nothing_rejected(fleet.rows)
     broken["pool whole"] = final_checks.check_pool(fleet)
     broken["in time"] = service.in_time(
-        fleet.rows, service.floor(name, size), None if recovery is None else start + recovery + RECOVERY_S
+        fleet.rows, service.min_share(name, size), None if recovery is None else start + recovery + RECOVERY_S
     )
     if name == "tenant_rush":
         broken["none starved"] = judge_traffic.none_starved(fleet.rows, fleet.plan["tenants"][0])
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,10 +1,10 @@
-"""Long runs: a simulated one through fault after fault, and a real fleet watched for growth.
+"""Long runs: a simulated fleet with repeated faults, and a real fleet that is monitored for growth.
 
 python -m tools.soak simulated --minutes 20 --seeds 1-8 --jobs 8
 python -m tools.soak real --seconds 240 --deployment patinetes
 
-The simulated run breaks something every forty seconds at the brief's size and is
-judged as a whole. The real one samples each daemon's memory, threads, open files
+The simulated run injects a fault every forty seconds at size `brief` and checks the
+rules over the whole run. The real one samples each daemon's memory, threads, open files
 and data folder after a warm-up and at the end.
 """
 
@@ -23,7 +23,7 @@
 import tools.simulator.final_checks as final_checks
 import tools.simulator.scenarios as scenarios
 
-FAULTS = (
+FAULT_SCENARIOS = (
     "kill_router",
     "kill_owner",
     "freeze_router",
@@ -43,41 +43,43 @@
     "kill_many",
     "order_owner_killed",
 )
-GAP = 40.0  # s between two faults; each heals within fifteen
-WARM = 0.4  # share of a real run that counts as warming up
+FAULT_INTERVAL_S = 40.0  # between two faults; each ends within 15 s
+WARM_UP_SHARE = 0.4  # share of a real run that is warm-up
 
 
-def simulated(job):
+def run_simulated(job):
     minutes, seed, deployment, size = job
-    f = simulate.fleet_module.SimFleet(f"soak.{seed}", deployment, **simulate.fleet_options(deployment, size))
-    f.ready()
-    done = []
-
-    def hurt():
-        name = f.random.choice(FAULTS)
-        done.append(name)
-        f.id_suffix = f"/{len(done)}"  # an id used again would be answered as accepted before
-        scenarios.SCENARIOS[name](f)
-        if len(done) * GAP < minutes * 60:
-            f.call_later(GAP, hurt)
-
-    f.call_later(5, hurt)
-    f.load(f.plan["rate"], minutes * 60)
-    f.run(minutes * 60 + GAP)
-    broken = final_checks.settle_and_check(f)
-    whole = sum(rows[-1]["end"] == "whole" for rows in recorded.attempts_by_id(f.rows).values())
+    fleet = simulate.fleet_module.SimFleet(f"soak.{seed}", deployment, **simulate.fleet_options(deployment, size))
+    fleet.ready()
+    injected = []
+
+    def inject_fault():
+        name = fleet.random.choice(FAULT_SCENARIOS)
+        injected.append(name)
+        fleet.id_suffix = f"/{len(injected)}"  # a reused request id would be reported as already accepted
+        scenarios.SCENARIOS[name](fleet)
+        if len(injected) * FAULT_INTERVAL_S < minutes * 60:
+            fleet.call_later(FAULT_INTERVAL_S, inject_fault)
+
+    fleet.call_later(5, inject_fault)
+    fleet.load(fleet.plan["rate"], minutes * 60)
+    fleet.run(minutes * 60 + FAULT_INTERVAL_S)
+    broken = final_checks.settle_and_check(fleet)
+    served = sum(rows[-1]["end"] == "whole" for rows in recorded.attempts_by_id(fleet.rows).values())
     tables = {
-        "kept for neighbours": max(len(f.parts[n].backup_releases.entries) for n in f.names("route")),
-        "frees left": max(f.parts[n].handle_releases.count_pending() for n in f.names("route")),
-        "log entries": max(len(m.log.entries) for n in f.names("keep") for m in f.parts[n].members),
-        "documents": max(len(f.parts[n].members[0].machine.docs) for n in f.names("keep")),
+        "kept for neighbours": max(len(fleet.parts[name].backup_releases.entries) for name in fleet.names("route")),
+        "frees left": max(fleet.parts[name].handle_releases.count_pending() for name in fleet.names("route")),
+        "log entries": max(
+            len(member.log.entries) for name in fleet.names("keep") for member in fleet.parts[name].members
+        ),
+        "documents": max(len(fleet.parts[name].members[0].machine.docs) for name in fleet.names("keep")),
     }
-    return job, broken, (len(done), len(recorded.attempts_by_id(f.rows)), whole, len(f.writes), tables)
+    return job, broken, (len(injected), len(recorded.attempts_by_id(fleet.rows)), served, len(fleet.writes), tables)
 
 
-def sample(fleet):
+def sample_daemons(fleet):
     """Map each daemon to (KiB resident, threads, open files, KiB in its data folder)."""
-    found = {}
+    samples = {}
     for name, settings in fleet.settings.items():
         pid = fleet.processes[name].pid
         try:
@@ -86,20 +88,20 @@
         except OSError:
             continue
         folder = pathlib.Path(settings.get("data", "/nowhere"))
-        size = sum(p.stat().st_size for p in folder.iterdir() if p.exists()) // 1024 if folder.exists() else 0
-        found[name] = (int(rows["VmRSS"].split()[0]), int(rows["Threads"]), files, size)
-    return found
+        size = sum(file.stat().st_size for file in folder.iterdir() if file.exists()) // 1024 if folder.exists() else 0
+        samples[name] = (int(rows["VmRSS"].split()[0]), int(rows["Threads"]), files, size)
+    return samples
 
 
-def real(seconds, deployment):
-    """Runs a fleet through changes all along; prints what grew after the warm-up."""
+def run_real(seconds, deployment):
+    """Run a real fleet with steady configuration changes; print what grew after the warm-up."""
     samples, stop = [], threading.Event()
 
     def watch(fleet):
         while not stop.wait(seconds / 40):
-            samples.append(sample(fleet))
+            samples.append(sample_daemons(fleet))
 
-    faults = ",".join(f"{at}:config" for at in range(3, int(seconds) - 5, 4))
+    faults = ",".join(f"{second}:config" for second in range(3, int(seconds) - 5, 4))
     folder = tempfile.mkdtemp(prefix="mothshed-soak-")
 
     def on_serving(fleet):
@@ -110,13 +112,17 @@
     finally:
         stop.set()
         shutil.rmtree(folder, ignore_errors=True)
-    early, late = samples[int(WARM * len(samples))], samples[-1]
+    warm, final = samples[int(WARM_UP_SHARE * len(samples))], samples[-1]
     print(
         "| daemon | resident KiB, warm | at the end | threads | | open files | | data KiB | |\n"
         "|---|---|---|---|---|---|---|---|---|"
     )
-    for name in sorted(late):
-        print(f"| {name} | " + " | ".join(f"{a} | {b}" for a, b in zip(early[name], late[name], strict=False)) + " |")
+    for name in sorted(final):
+        print(
+            f"| {name} | "
+            + " | ".join(f"{before} | {after}" for before, after in zip(warm[name], final[name], strict=False))
+            + " |"
+        )
     return {rule: found for rule, found in rules.items() if found}
 
 
@@ -132,25 +138,27 @@
     seeds = simulate.parse_seeds(parser, args)
     if args.minutes < 1 or args.seconds < 30:
         parser.error("--minutes: at least 1; --seconds: at least 30")
-    bad = 0
+    failures = 0
     if args.kind == "real":
-        broken = real(args.seconds, args.deployment)
-        bad, rows = len(broken), [("", broken, "")]
+        broken = run_real(args.seconds, args.deployment)
+        failures, rows = len(broken), [("", broken, "")]
     else:
-        rows = simulate.run_jobs([(args.minutes, s, args.deployment, "brief") for s in seeds], args.jobs, simulated)
-    for job, broken, said in rows:
-        if said:
-            count, asked, whole, writes, tables = said
+        rows = simulate.run_jobs(
+            [(args.minutes, seed, args.deployment, "brief") for seed in seeds], args.jobs, run_simulated
+        )
+    for job, broken, summary in rows:
+        if summary:
+            count, requests, served, writes, tables = summary
             print(
-                f"{job[2]} seed {job[1]}: {args.minutes:.0f} min, {count} faults, {asked} requests, "
-                f"{whole / asked:.1%} served, "
-                f"{writes} documents; at the end " + ", ".join(f"{k} {n}" for k, n in tables.items()),
+                f"{job[2]} seed {job[1]}: {args.minutes:.0f} min, {count} faults, {requests} requests, "
+                f"{served / requests:.1%} served, "
+                f"{writes} documents; at the end " + ", ".join(f"{name} {count}" for name, count in tables.items()),
                 flush=True,
             )
-        bad += bool(broken)
+        failures += bool(broken)
         for rule, found in broken.items():
             print(f"    BROKEN {rule}: {len(found)}, first: {found[0]}")
-    sys.exit(1 if bad else 0)
+    sys.exit(1 if failures else 0)
 
 
 if __name__ == "__main__":
