--- a/tests/test_hurt_fleet.py
+++ b/tests/test_hurt_fleet.py
@@ -1,4 +1,4 @@
-"""Real processes under cuts, slow links and bad disks: every rule kept, and the harm really done."""
+"""Real processes under network cuts and disk faults: every rule holds, and the faults really took effect."""
 
 import pathlib
 
@@ -8,7 +8,7 @@
 FAULTS = "1:cut_owner,7:cut_core,13:disk_full,20:cut_owner_one_way"
 
 
-def test_cuts_and_a_full_disk_between_real_processes(tmp_path):
+def test_rules_hold_under_network_cuts_and_a_full_disk(tmp_path):
     lines = []
     rules, rows, ledger = fleet_run.run(
         tmp_path, "patinetes", 26.0, 6.0, FAULTS, 2, machines=4, replicas=3, out=lines.append
@@ -17,6 +17,6 @@
     assert sum(r["end"] == "whole" for r in rows) > 50
     for _at, name in fleet_faults.parse(FAULTS):
         assert any(line.endswith(name) for line in lines), name
-    assert sum("exit 0" in line for line in lines) >= 3  # the configuration changed amid them
-    told = "".join(p.read_text() for p in pathlib.Path(tmp_path).glob("*.ring"))
-    assert "no space left" in told  # the disk really refused
+    assert sum("exit 0" in line for line in lines) >= 3  # the configuration changed during the faults
+    logged = "".join(p.read_text() for p in pathlib.Path(tmp_path).glob("*.ring"))
+    assert "no space left" in logged  # the disk really refused writes
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""The tools' own manners: bad words are one error, nothing done, non-zero; the log buffer is written out."""
+"""The tools: invalid arguments give one error and a non-zero exit code; the log buffer is written to its file."""
 
 import json
 import subprocess
@@ -10,9 +10,9 @@
 
 
 @pytest.mark.parametrize(
-    "words, said",
+    "arguments, message",
     [
-        (["tools.simulate", "--day", "no-such-day"], "no day is named 'no-such-day'"),
+        (["tools.simulate", "--day", "no-such-day"], "no scenario is named 'no-such-day'"),
         (["tools.simulate", "--day", "calm", "--seeds", "one"], "'one' is not first-last"),
         (["tools.measure", "pairing", "--traffic", "/no/such/file"], "/no/such/file"),
         (["mothshed.programs.operate", "fleet", "--faults", "3:kill_router,x:config,4:explode"], "x:config, 4:explode"),
@@ -35,13 +35,13 @@
         (["mothshed.programs.operate", "run", "swap-keeper", "--keeper", "127.0.0.1:1", "--set", "old"], "name=value"),
     ],
 )
-def test_bad_words_are_named_and_nothing_is_done(words, said):
-    done = subprocess.run([sys.executable, "-m", *words], capture_output=True, text=True, stdin=subprocess.DEVNULL)
+def test_invalid_arguments_are_named_and_nothing_is_done(arguments, message):
+    done = subprocess.run([sys.executable, "-m", *arguments], capture_output=True, text=True, stdin=subprocess.DEVNULL)
     assert done.returncode == 2
-    assert said in " ".join((done.stdout + done.stderr).split())
+    assert message in " ".join((done.stdout + done.stderr).split())
 
 
-def test_the_ring_is_written_out_when_something_goes_wrong(tmp_path, monkeypatch):
+def test_the_log_buffer_is_written_to_its_file_after_a_failure(tmp_path, monkeypatch):
     path = tmp_path / "ring"
     monkeypatch.setattr(log_buffer, "STATE", {"path": str(path), "last": -1e9, "name": "t", "on": True})
     log_buffer.MESSAGES.clear()
