--- a/tools/replica_memory.py
+++ b/tools/replica_memory.py
@@ -150,13 +150,17 @@
         self.record("free", request)
         return True
 
-    def order(self, role, standing, holder, sequence):
+    def order(self, role, fencing_token, leader_id, sequence):
         with self.lock:
-            accepted = standing > self.fencing_token or (standing == self.fencing_token and holder == self.order_leader)
-            self.ledger.add("order", role=role, standing=standing, holder=holder, taken=accepted, sequence=sequence)
+            accepted = fencing_token > self.fencing_token or (
+                fencing_token == self.fencing_token and leader_id == self.order_leader
+            )
+            self.ledger.add(
+                "order", role=role, standing=fencing_token, holder=leader_id, taken=accepted, sequence=sequence
+            )
             if accepted:
                 self.is_older_sequence(sequence)
-                self.fencing_token, self.order_leader, self.role = standing, holder, role
+                self.fencing_token, self.order_leader, self.role = fencing_token, leader_id, role
             return accepted
 
     def condition(self):
--- a/tools/service_table.py
+++ b/tools/service_table.py
@@ -12,7 +12,7 @@
 
 
 def main():
-    seeds, job_count = simulate.parse_seeds_and_jobs("service per day and kind of request", "1-3")
+    seeds, job_count = simulate.parse_seeds_and_jobs("service per scenario and kind of request", "1-3")
     print("| day | deployment | kind | asked | served | begun in 1 s | in time |\n|---|---|---|---|---|---|---|")
     jobs = [
         (name, seed, deployment, "brief")
