--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -165,7 +165,7 @@
     )
     done = run(str(torn))
     assert done.stdout.splitlines() == ["1970-01-01T00:00:05.000Z - late"]
-    assert done.returncode == 0 and "8 lines were no log lines" in done.stderr
+    assert done.returncode == 0 and "8 lines were not log rows and were skipped" in done.stderr
 
 
 def test_a_missing_file_is_named(files):
@@ -177,4 +177,4 @@
 
 def test_a_field_of_several_lines_stays_on_one():
     row = {"timestamp": 0.0, "message_type": "x", "process": "p", "error": "a\nb", "n": 3, "none": None, "empty": ""}
-    assert logs.line(row) == '1970-01-01T00:00:00.000Z p x error="a\\nb" n=3 none=null empty=""'
+    assert logs.format_row(row) == '1970-01-01T00:00:00.000Z p x error="a\\nb" n=3 none=null empty=""'
--- a/tests/test_platform_raw.py
+++ b/tests/test_platform_raw.py
@@ -70,7 +70,7 @@
     ]
     response = exchange(site, b"\r\n".join(rows) + b"\r\n\r\n" + b"0\r\n\r\n" + inner)
     assert site.platform.ran("smuggled-" + mark) == []
-    assert len(replica.asked) <= 1 and response.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
+    assert len(replica.requests) <= 1 and response.count(b"Postmark") == len(site.platform.ran("outer-" + mark))
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
             response = conn.recv(65536)
         except (TimeoutError, ConnectionResetError):
             response = b""
-    assert [(r.method, r.target, r.body) for r in replica.asked] == [] and b" 200 " not in response[:20]
+    assert [(r.method, r.target, r.body) for r in replica.requests] == [] and b" 200 " not in response[:20]
 
 
 def test_a_body_that_stalls_past_its_timeout_is_sent_to_no_replica(site, monkeypatch):
@@ -108,8 +108,8 @@
     response = exchange(
         site, b"POST /p/x HTTP/1.1\r\nHost: %b\r\nTry-Id: slow\r\nContent-Length: 9\r\n\r\nabc" % host.encode(), 1.5
     )
-    platform_site.until(lambda: site.router.in_flight == 0)
-    assert [r.body for r in replica.asked] == [] and b" 200 " not in response[:20]
+    platform_site.wait_until(lambda: site.router.in_flight == 0)
+    assert [r.body for r in replica.requests] == [] and b" 200 " not in response[:20]
 
 
 def test_pipelined_requests_are_answered_in_order(site):
@@ -121,14 +121,14 @@
     response = exchange(site, b"".join(rows))
     assert [response.count(b"Try-Id: row-%d" % n) for n in range(4)] == [1] * 4
     assert [response.index(b"row-%d" % n) for n in range(4)] == sorted(response.index(b"row-%d" % n) for n in range(4))
-    assert [(r.target, r.body) for r in replica.asked] == [(f"/p/{n}", b"ab%d" % n) for n in range(4)]
+    assert [(r.target, r.body) for r in replica.requests] == [(f"/p/{n}", b"ab%d" % n) for n in range(4)]
 
 
 def test_a_header_name_with_an_underscore_is_not_taken_for_one_with_a_dash(site):
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
-    own, answer = site.ask(host, headers=[("Try_Id", "other"), ("Time_Left", "900")], prompt=False)
-    assert answer.status == 200 and [r.get("Try-Id") for r in replica.asked] == [own]
-    assert int(replica.asked[0].get("Time-Left")) > 1000
+    request_id, answer = site.ask(host, headers=[("Try_Id", "other"), ("Time_Left", "900")], prompt=False)
+    assert answer.status == 200 and [r.get("Try-Id") for r in replica.requests] == [request_id]
+    assert int(replica.requests[0].get("Time-Left")) > 1000
 
 
 @pytest.mark.parametrize("name, value", [("Last-Event-Id", "²"), ("Prompt-Prefix", "a:²"), ("Tokens", "²,²")])
@@ -136,7 +136,7 @@
     host, (replica,) = site.service("d", engine=False, kind="once_only", facts={"events": 0})
     replica.run = answer_done
     _own, answer = site.ask(host, headers=[(name, value)], prompt=False)
-    assert answer.status == 200 and [request.all(name) for request in replica.asked] == [[value]]
+    assert answer.status == 200 and [request.all(name) for request in replica.requests] == [[value]]
 
 
 def answer_done(conn, request, fault, more):
@@ -150,4 +150,4 @@
     rows = [b"POST /p/x HTTP/1.1", b"Host: " + host.encode(), b"Try-Id: odd", odd, b"Content-Length: 0"]
     # the server closes the connection
     response = exchange(site, b"\r\n".join(rows) + b"\r\n\r\n", constants.REQUEST_READ_TIMEOUT_S + 1.0)
-    assert response.startswith(b"HTTP/1.1 400 ") and replica.asked == []
+    assert response.startswith(b"HTTP/1.1 400 ") and replica.requests == []
--- a/tools/runbook_verbs.py
+++ b/tools/runbook_verbs.py
@@ -8,8 +8,9 @@
 
 import re
 
+import mothshed.programs.operator_client as operator_client
+
 import mothshed.configuration.document as configuration
-import mothshed.programs.ask as ask
 import mothshed.programs.document_file as document_file
 
 CHECKS, ACTIONS = {}, {}
@@ -26,11 +27,11 @@
 
 
 def read_condition(address):
-    return ask.once_each([address], "/condition").get(address)
+    return operator_client.fetch_each([address], "/condition").get(address)
 
 
 def read_keepers(run):
-    return {address: page for address, page in ask.once_each(run.keepers, "/condition").items() if page}
+    return {address: page for address, page in operator_client.fetch_each(run.keepers, "/condition").items() if page}
 
 
 @check
@@ -90,7 +91,7 @@
     parts = {row["part"] for page in conditions.values() for row in page["parts"]}
     if not parts or parts != {row["part"] for row in rows}:
         return "not every part has a leader that answers"
-    pages = ask.once_each(sorted({http for row in rows for http in row["seats"].values()}), "/condition")
+    pages = operator_client.fetch_each(sorted({http for row in rows for http in row["seats"].values()}), "/condition")
     for row in rows:
         for member_id, http in row["seats"].items():
             page = pages[http]
@@ -105,7 +106,7 @@
 
 @check
 def no_change_under_way(run):
-    status, response = ask.any_of(run.keepers, "GET", "/configuration")
+    status, response = operator_client.first_answer(run.keepers, "GET", "/configuration")
     if status != 200:
         return f"the configuration cannot be read: {response}"
     if response["active"] != response["latest"]:
@@ -116,7 +117,7 @@
 
 @check
 def sequence_known(run, sequence):
-    status, response = ask.any_of(run.keepers, "GET", "/configuration/history")
+    status, response = operator_client.first_answer(run.keepers, "GET", "/configuration/history")
     known = [row["sequence"] for row in response.get("rows", [])]
     return None if int(sequence) in known else f"sequence {sequence} is not in the history {known}"
 
@@ -132,8 +133,8 @@
     """Every router serves under the active sequence and sees replicas of both roles."""
     if not run.routers:
         return "no --router was given"
-    status, response = ask.any_of(run.keepers, "GET", "/configuration")
-    for address, page in ask.once_each(run.routers, "/condition").items():
+    status, response = operator_client.first_answer(run.keepers, "GET", "/configuration")
+    for address, page in operator_client.fetch_each(run.routers, "/condition").items():
         if not page or not page["serving"]:
             return f"{address} does not serve"
         if page["sequence"] != response.get("active"):
@@ -159,7 +160,7 @@
     """Every router would send requests to it."""
     unaware = [
         address
-        for address, page in ask.once_each(run.routers, "/condition").items()
+        for address, page in operator_client.fetch_each(run.routers, "/condition").items()
         if not page or name not in page["replicas"]
     ]
     return f"{name} is not usable at {unaware}" if unaware or not run.routers else None
@@ -170,7 +171,7 @@
     """No router sends requests to it."""
     using = [
         address
-        for address, page in ask.once_each(run.routers, "/condition").items()
+        for address, page in operator_client.fetch_each(run.routers, "/condition").items()
         if page and name in page["replicas"]
     ]
     return f"{name} still gets requests from {using}" if using or not run.routers else None
@@ -184,13 +185,15 @@
 @action
 def apply_again(run, sequence):
     """Apply an earlier document again, as the newest sequence."""
-    status, response = ask.any_of(run.keepers, "GET", "/configuration/history")
+    status, response = operator_client.first_answer(run.keepers, "GET", "/configuration/history")
     row = next(row for row in response["rows"] if row["sequence"] == int(sequence))
     return apply_over_active(run, row["document"])
 
 
 def apply_over_active(run, document):
-    code, response = ask.apply(run.keepers, run.facts["active"], document, "runbook", run.new_request_id())
+    code, response = operator_client.apply_document(
+        run.keepers, run.facts["active"], document, "runbook", run.new_request_id()
+    )
     if code:
         raise RuntimeError(f"not applied (exit {code}): {response}")
     return f"accepted as sequence {response['sequence']}"
@@ -200,7 +203,7 @@
 def count_bounces(run):
     """Report why requests were rejected, per router, and what each cause means."""
     lines = []
-    for address, text in ask.once_each(run.routers, "/metrics", text=True).items():
+    for address, text in operator_client.fetch_each(run.routers, "/metrics", text=True).items():
         rows = dict(re.findall(r"mothshed_bounce_(\w+)_total (\d+)", text or ""))
         lines += [f"{address}: {count} x {cause}: {MEANING.get(cause, '')}" for cause, count in sorted(rows.items())]
     return "\n".join(lines) or "no router has rejected a request"
