--- a/tools/elections.py
+++ b/tools/elections.py
@@ -70,7 +70,9 @@
     leader_time = wait_until(fleet, lambda: has_ready_leader(fleet))[0]
     lease_time = wait_until(
         fleet,
-        lambda: all(fleet.machines[name].alive and fleet.processes[name].lease.sequence() for name in fleet.names("route")),
+        lambda: all(
+            fleet.machines[name].alive and fleet.processes[name].lease.sequence() for name in fleet.names("route")
+        ),
     )[0]
     return leader_time, leader_time + lease_time
 
