--- a/tests/test_ablation.py
+++ b/tests/test_ablation.py
@@ -29,29 +29,32 @@
 
 def test_a_switch_that_no_longer_fits_is_refused(tmp_path):
     shutil.copytree(ROOT / "mothshed", tmp_path / "mothshed", ignore=shutil.ignore_patterns("__pycache__"))
-    for change in (mechanisms.Constant("NO_SUCH", "1"), mechanisms.Line(mechanisms.PLACEMENT, "no such line", "")):
-        with pytest.raises(mechanisms.NotFound):
+    for change in (
+        mechanisms.ConstantChange("NO_SUCH", "1"),
+        mechanisms.TextReplacement(mechanisms.PLACEMENT, "no such line", ""),
+    ):
+        with pytest.raises(mechanisms.StaleSwitchError):
             change.apply(tmp_path)
 
 
 def test_a_mechanism_is_worth_the_mean_difference_and_what_was_not_played_counts_for_nothing():
-    plays = ablation.plays_of("site.toml=quiet-1,trouble-1:7")
-    one, two = (play.label() for play in plays)
-    full = {(ablation.FULL, one): 0.8, (ablation.FULL, two): 0.5}
-    worths = {**full, ("good", one): 0.7, ("good", two): 0.2, ("bad", one): 0.9, ("bad", two): None}
-    rows = ablation.rows_of(worths, plays)
+    runs = ablation.parse_runs("site.toml=quiet-1,trouble-1:7")
+    first, second = (run.label() for run in runs)
+    full = {(ablation.BASELINE, first): 0.8, (ablation.BASELINE, second): 0.5}
+    worths = {**full, ("good", first): 0.7, ("good", second): 0.2, ("bad", first): 0.9, ("bad", second): None}
+    rows = ablation.summarize(worths, runs)
     assert [row.name for row in rows] == ["good", "bad"]
     assert rows[0].mean() == pytest.approx(0.2) and rows[0].spread() == pytest.approx(0.2)
     assert rows[1].mean() == pytest.approx(-0.1)
-    text = ablation.table(rows, worths, plays)
+    text = ablation.format_table(rows, worths, runs)
     assert "| good | +0.200 | 0.200 | +0.100 | +0.300 |" in text and "| bad | -0.100 | 0.000 | -0.100 | - |" in text
-    assert ablation.picture(rows).count("<rect") == 2
+    assert ablation.render_svg(rows).count("<rect") == 2
 
 
 @pytest.mark.parametrize("text", ["", "site.toml", "=quiet-1", "site.toml="])
 def test_a_play_that_is_not_whole_is_refused(text):
     with pytest.raises(ValueError):
-        ablation.plays_of(text)
+        ablation.parse_runs(text)
 
 
 def row(name, asked, in_aim, late=0, refused=0, failed=0):
@@ -75,11 +78,11 @@
 
 
 def test_the_account_of_a_day_names_what_lost_most_first():
-    text = "\n".join(lost_worth.lines_of(REPORT, LOG))
+    text = "\n".join(lost_worth.format_account(REPORT, LOG))
     assert text.index("short ") < text.index("long ") and "none" not in text
     assert "machines" in text and "nothing" not in text and "6 503" in text
-    assert lost_worth.counters(LOG) == {"late_reading": 4, "refusal_no_lease": 2}
+    assert lost_worth.sum_counters(LOG) == {"late_reading": 4, "refusal_no_lease": 2}
 
 
 def test_the_picture_of_a_day_has_a_bar_for_each_end():
-    assert lost_worth.picture(REPORT).count("<rect") == 2 * 4 + 4
+    assert lost_worth.render_svg(REPORT).count("<rect") == 2 * 4 + 4
--- a/tests/test_outages.py
+++ b/tests/test_outages.py
@@ -31,14 +31,14 @@
     ],
 )
 def test_refusals_beside_a_settled_core_are_outages_and_failures_or_few_requests_are_none(unsettled, seconds):
-    found = outages.outages(REPORT.format(unsettled=unsettled))
+    found = outages.find_outages(REPORT.format(unsettled=unsettled))
     assert [window.second for window in found] == seconds
 
 
 def test_a_report_without_a_table_or_trouble_has_none():
-    assert outages.outages("built in 0.3 s\n") == []
+    assert outages.find_outages("built in 0.3 s\n") == []
     settled = REPORT.format(unsettled="").replace("the core was not settled: \n", "")
-    assert [window.second for window in outages.outages(settled)] == [114, 116]
+    assert [window.second for window in outages.find_outages(settled)] == [114, 116]
 
 
 def test_the_command_names_them_and_fails(tmp_path):
--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -5,7 +5,7 @@
 
 The scratch folder must not lie under /tmp: the played processes have one of their own. Every play leaves its
 entry in the copy's journal/. A mechanism's worth is the full code's worth less that without it, as a mean over the
-plays; the spread is the largest difference between two plays of the pairs. A change under 0.03 is noise.
+plays; the spread is the peak difference between two plays of the pairs. A change under 0.03 is noise.
 """
 
 import argparse
@@ -21,21 +21,21 @@
 import tools.mechanisms as mechanisms
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-FULL = "the full code"
+BASELINE = "the full code"
 BAR_HEIGHT, LEFT, WIDTH = 18, 300, 760  # pixels of the picture
 
 
 @dataclasses.dataclass(frozen=True)
-class Play:
+class Run:
     """One day of one deployment, with one seed."""
 
-    site: pathlib.Path
+    deployment: pathlib.Path
     day: str
     seed: str  # "" for the day's own
 
     def label(self) -> str:
         """A short name for tables and files."""
-        return f"{self.site.stem} {self.day}" + (f" {self.seed}" if self.seed else "")
+        return f"{self.deployment.stem} {self.day}" + (f" {self.seed}" if self.seed else "")
 
 
 @dataclasses.dataclass(frozen=True)
@@ -47,55 +47,59 @@
     small: bool
 
 
-def plays_of(text: str) -> list[Play]:
+def parse_runs(text: str) -> list[Run]:
     """Read SITE=DAY[:SEED],... from a word of the command line; raises ValueError.
 
-    >>> [(play.day, play.seed) for play in plays_of("a.toml=quiet-1,trouble-1:7")]
+    >>> [(run.day, run.seed) for run in parse_runs("a.toml=quiet-1,trouble-1:7")]
     [('quiet-1', ''), ('trouble-1', '7')]
     """
-    site, equals, days = text.partition("=")
-    if not (site and equals and days):
+    deployment, equals, days = text.partition("=")
+    if not (deployment and equals and days):
         raise ValueError(f"{text!r} is not SITE=DAY[:SEED],...")
-    return [Play(pathlib.Path(site).resolve(), *day.partition(":")[::2]) for day in days.split(",")]
+    return [Run(pathlib.Path(deployment).resolve(), *day.partition(":")[::2]) for day in days.split(",")]
 
 
-def copy_tree(goal: pathlib.Path) -> None:
+def copy_tree(target: pathlib.Path) -> None:
     """Copy what git tracks, without the journal; keep what an earlier build left under target/."""
     tracked = subprocess.run(["git", "ls-files", "-z"], cwd=ROOT, check=True, capture_output=True, text=True).stdout
     for name in tracked.split("\0"):
         if name and not name.startswith("journal/") and (ROOT / name).is_file():
-            (goal / name).parent.mkdir(parents=True, exist_ok=True)
-            shutil.copy2(ROOT / name, goal / name)
-    (goal / "journal").mkdir(exist_ok=True)
+            (target / name).parent.mkdir(parents=True, exist_ok=True)
+            shutil.copy2(ROOT / name, target / name)
+    (target / "journal").mkdir(exist_ok=True)
     if (ROOT / "target" / "deps").is_dir():
-        shutil.copytree(ROOT / "target" / "deps", goal / "target" / "deps", dirs_exist_ok=True)
+        shutil.copytree(ROOT / "target" / "deps", target / "target" / "deps", dirs_exist_ok=True)
 
 
 def prepare(name: str, options: Options) -> pathlib.Path:
     """A copy of the code with one mechanism switched off, or with all of them, ready to be played."""
-    goal = options.scratch / name.replace(" ", "-")
-    copy_tree(goal)
-    if name != FULL:
-        mechanisms.MECHANISMS[name].switch_off(goal)
-    for words in (["init", "-q"], ["add", "-A"], ["-c", "user.name=a", "-c", "user.email=a@b", "commit", "-qm", name]):
-        subprocess.run(["git", *words], cwd=goal, check=False, capture_output=True)
-    subprocess.run([options.bench, "build"], cwd=goal, check=True, capture_output=True)
-    return goal
-
-
-def run(name: str, folder: pathlib.Path, play: Play, options: Options) -> float | None:
+    target = options.scratch / name.replace(" ", "-")
+    copy_tree(target)
+    if name != BASELINE:
+        mechanisms.MECHANISMS[name].switch_off(target)
+    for arguments in (
+        ["init", "-q"],
+        ["add", "-A"],
+        ["-c", "user.name=a", "-c", "user.email=a@b", "commit", "-qm", name],
+    ):
+        subprocess.run(["git", *arguments], cwd=target, check=False, capture_output=True)
+    subprocess.run([options.bench, "build"], cwd=target, check=True, capture_output=True)
+    return target
+
+
+def run_once(name: str, folder: pathlib.Path, run: Run, options: Options) -> float | None:
     """The worth of one play; None if it was not played, 0 if it broke a rule."""
-    report = folder / f"report {play.label()}.json"
-    words = [str(options.bench), "run", str(play.site), play.day, "--report", str(report)]
-    words += ["--seed", play.seed] if play.seed else []
-    words += ["--small"] if options.small else []
-    words += ["--why", f"ablation, without: {name}" if name != FULL else f"ablation: {FULL}"]
-    subprocess.run(words, cwd=folder, check=False, capture_output=True)
+    report = folder / f"report {run.label()}.json"
+    arguments = [str(options.bench), "run", str(run.deployment), run.day, "--report", str(report)]
+    arguments += ["--seed", run.seed] if run.seed else []
+    arguments += ["--small"] if options.small else []
+    arguments += ["--why", f"ablation, without: {name}" if name != BASELINE else f"ablation: {BASELINE}"]
+    subprocess.run(arguments, cwd=folder, check=False, capture_output=True)
     try:
-        said = json.loads(report.read_text())
+        result = json.loads(report.read_text())
     except (OSError, ValueError):
         return None
-    return 0.0 if said["breaks"] else float(said["G"])
+    return 0.0 if result["breaks"] else float(result["G"])
 
 
 @dataclasses.dataclass(frozen=True)
@@ -114,39 +118,43 @@
         return max(self.differences.values()) - min(self.differences.values()) if self.differences else 0.0
 
 
-def rows_of(worths: dict[tuple[str, str], float | None], plays: list[Play]) -> list[Row]:
+def summarize(worths: dict[tuple[str, str], float | None], runs: list[Run]) -> list[Row]:
     """A row for each mechanism, the one worth most first."""
     rows = []
-    for name in sorted({name for name, _label in worths} - {FULL}):
+    for name in sorted({name for name, _label in worths} - {BASELINE}):
         differences = {}
-        for label in (play.label() for play in plays):
-            full, without = worths.get((FULL, label)), worths.get((name, label))
-            if full is not None and without is not None:
-                differences[label] = full - without
+        for label in (run.label() for run in runs):
+            baseline, without = worths.get((BASELINE, label)), worths.get((name, label))
+            if baseline is not None and without is not None:
+                differences[label] = baseline - without
         rows.append(Row(name, differences))
     return sorted(rows, key=lambda row: -row.mean())
 
 
-def table(rows: list[Row], worths: dict[tuple[str, str], float | None], plays: list[Play]) -> str:
+def format_table(rows: list[Row], worths: dict[tuple[str, str], float | None], runs: list[Run]) -> str:
     """The table in Markdown: the full code's worth, then what each mechanism adds to it."""
-    labels = [play.label() for play in plays]
+    labels = [run.label() for run in runs]
     lines = [f"| switched off | mean | spread | {' | '.join(labels)} |", "|---" * (len(labels) + 3) + "|"]
-    full = [worths.get((FULL, label)) for label in labels]
-    lines.append(f"| ({FULL}: worth) | | | " + " | ".join("-" if w is None else f"{w:.3f}" for w in full) + " |")
+    baseline = [worths.get((BASELINE, label)) for label in labels]
+    lines.append(
+        f"| ({BASELINE}: worth) | | | "
+        + " | ".join("-" if worth is None else f"{worth:.3f}" for worth in baseline)
+        + " |"
+    )
     for row in rows:
         values = [f"{row.differences[label]:+.3f}" if label in row.differences else "-" for label in labels]
         lines.append(f"| {row.name} | {row.mean():+.3f} | {row.spread():.3f} | {' | '.join(values)} |")
     return "\n".join(lines) + "\n"
 
 
-def picture(rows: list[Row]) -> str:
+def render_svg(rows: list[Row]) -> str:
     """An SVG: a bar for each mechanism, green for what it adds, red for what it costs."""
-    most = max([abs(row.mean()) for row in rows] + [0.01])
+    peak = max([abs(row.mean()) for row in rows] + [0.01])
     middle, reach = LEFT + 120, WIDTH - LEFT - 180
     height = BAR_HEIGHT * (len(rows) + 1)
     shapes = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{height}" font-size="12">']
-    for place, row in enumerate(rows):
-        top, length = place * BAR_HEIGHT + 4, abs(row.mean()) / most * reach
+    for index, row in enumerate(rows):
+        top, length = index * BAR_HEIGHT + 4, abs(row.mean()) / peak * reach
         start = middle if row.mean() >= 0 else middle - min(length, 110)
         colour = "#4c9a5f" if row.mean() >= 0 else "#a03040"
         shapes.append(f'<text x="4" y="{top + 12}">{row.name}</text>')
@@ -154,24 +162,24 @@
             f'<rect x="{start:.1f}" y="{top}" width="{length:.1f}" height="{BAR_HEIGHT - 4}" fill="{colour}"/>'
         )
         shapes.append(
-            f'<text x="{middle + max(0.0, row.mean()) / most * reach + 4:.1f}" y="{top + 12}">{row.mean():+.3f}</text>'
+            f'<text x="{middle + max(0.0, row.mean()) / peak * reach + 4:.1f}" y="{top + 12}">{row.mean():+.3f}</text>'
         )
     return "\n".join([*shapes, "</svg>"]) + "\n"
 
 
-def measure(names: list[str], plays: list[Play], options: Options, jobs: int) -> dict[tuple[str, str], float | None]:
+def measure_all(names: list[str], runs: list[Run], options: Options, jobs: int) -> dict[tuple[str, str], float | None]:
     """The worth of every play of every variant."""
     folders = {name: prepare(name, options) for name in names}
     worths: dict[tuple[str, str], float | None] = {}
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        waiting = {
-            pool.submit(run, name, folders[name], play, options): (name, play.label())
-            for play in plays
+        pending = {
+            pool.submit(run_once, name, folders[name], run, options): (name, run.label())
+            for run in runs
             for name in names
         }
-        for done in concurrent.futures.as_completed(waiting):
-            worths[waiting[done]] = done.result()
-            print(*waiting[done], worths[waiting[done]], flush=True)
+        for future in concurrent.futures.as_completed(pending):
+            worths[pending[future]] = future.result()
+            print(*pending[future], worths[pending[future]], flush=True)
     return worths
 
 
@@ -188,20 +196,20 @@
     parser.add_argument("--picture", type=pathlib.Path)
     args = parser.parse_args()
     try:
-        plays = [play for text in args.play for play in plays_of(text)]
-    except ValueError as e:
-        parser.error(str(e))
+        runs = [run for text in args.play for run in parse_runs(text)]
+    except ValueError as error:
+        parser.error(str(error))
     if args.jobs < 1:
         parser.error("--jobs: expected at least one")
     options = Options(args.bench.resolve(), args.scratch.resolve(), args.small)
-    worths = measure([FULL, *(args.only or mechanisms.MECHANISMS)], plays, options, args.jobs)
-    rows = rows_of(worths, plays)
-    text = table(rows, worths, plays)
+    worths = measure_all([BASELINE, *(args.only or mechanisms.MECHANISMS)], runs, options, args.jobs)
+    rows = summarize(worths, runs)
+    text = format_table(rows, worths, runs)
     print(text)
     if args.table:
         args.table.write_text(text)
     if args.picture:
-        args.picture.write_text(picture(rows))
+        args.picture.write_text(render_svg(rows))
     return int(None in worths.values())
 
 
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -17,7 +17,7 @@
 
 COUNTERS = re.compile(r'\{.*"message_type": ?"counters".*\}')
 REASONS = ("refusal_", "late_", "send_failed_", "delivery_")  # prefixes of the counters that say why
-PRICE_LEAST = 0.002  # worth; cheaper prices are not listed
+MIN_LISTED_PRICE = 0.002  # worth; cheaper prices are not listed
 WIDTH, HEIGHT, MARGIN = 720, 220, 40  # pixels of the picture
 COLOURS = {"in aim": "#4c9a5f", "late": "#e0b040", "refused": "#c96a3b", "failed": "#a03040"}
 
@@ -29,7 +29,7 @@
     """How the requests of one kind, or of one span of seconds, ended."""
 
     name: str
-    asked: int
+    request_count: int
     in_aim: int
     late: int
     refused: int
@@ -38,14 +38,14 @@
 
     def lost(self) -> float:
         """Worth lost, in requests of this group's mean worth."""
-        return self.asked * (1 - self.worth)
+        return self.request_count * (1 - self.worth)
 
-    def ends(self) -> dict[str, int]:
+    def outcome_counts(self) -> dict[str, int]:
         """The counts by how a request ended."""
         return {"in aim": self.in_aim, "late": self.late, "refused": self.refused, "failed": self.failed}
 
 
-def groups(rows: list[dict[str, typing.Any]]) -> list[Group]:
+def parse_groups(rows: list[dict[str, typing.Any]]) -> list[Group]:
     """The rows of one of the report's tables; those without requests are left out."""
     return [
         Group(row["name"], row["n"], row["in_aim"], row["late"], row["refused"], row["failed"], row["worth"])
@@ -54,64 +54,66 @@
     ]
 
 
-def counters(log: str) -> collections.Counter[str]:
+def sum_counters(log: str) -> collections.Counter[str]:
     """The counters that say why, added up over all processes and lines."""
     total: collections.Counter[str] = collections.Counter()
     for line in COUNTERS.findall(log):
         try:
-            said = json.loads(line)
+            record = json.loads(line)
         except ValueError:
             continue
-        total.update({name: n for name, n in said.items() if name.startswith(REASONS) and isinstance(n, int)})
+        total.update(
+            {name: count for name, count in record.items() if name.startswith(REASONS) and isinstance(count, int)}
+        )
     return total
 
 
-def table(title: str, rows: list[Group]) -> list[str]:
+def format_table(title: str, rows: list[Group]) -> list[str]:
     """Lines of a table, the group that lost most first."""
-    whole = sum(row.lost() for row in rows) or 1.0
+    total_loss = sum(row.lost() for row in rows) or 1.0
     lines = [f"{title:<18} asked  in aim    late refused  failed   worth  share of loss"]
     for row in sorted(rows, key=lambda row: -row.lost()):
         lines.append(
-            f"{row.name:<18} {row.asked:5} {row.in_aim:7} {row.late:7} {row.refused:7} {row.failed:7} "
-            f"{row.worth:7.3f}  {row.lost() / whole:6.1%}"
+            f"{row.name:<18} {row.request_count:5} {row.in_aim:7} {row.late:7} {row.refused:7} {row.failed:7} "
+            f"{row.worth:7.3f}  {row.lost() / total_loss:6.1%}"
         )
     return lines
 
 
-def lines_of(report: Report, log: str = "") -> list[str]:
+def format_account(report: Report, log: str = "") -> list[str]:
     """The whole account of a day."""
     lines = [f"worth {report['G']:.3f}: " + ", ".join(f"{name} {worth:.3f}" for name, _, worth in report["parts"])]
-    lines += ["", *table("kind", groups(report["classes"]))]
-    lines += ["", *table("from second", groups(report["windows"]))[:9], "", "not served, by the last try:"]
+    lines += ["", *format_table("kind", parse_groups(report["classes"]))]
+    lines += ["", *format_table("from second", parse_groups(report["windows"]))[:9], "", "not served, by the last try:"]
     lines += [f"  {count:6} {reason}" for reason, count, _example in report["unserved_by"]]
     prices = sorted(report["prices"], key=lambda row: -row[2])
-    lines += ["", "prices:"] + [f"  {price:.4f} {name}" for name, _, price in prices if price >= PRICE_LEAST]
-    found = counters(log)
-    if found:
-        lines += ["", "the routers' own counters:"] + [f"  {n:6} {name}" for name, n in found.most_common()]
+    lines += ["", "prices:"] + [f"  {price:.4f} {name}" for name, _, price in prices if price >= MIN_LISTED_PRICE]
+    totals = sum_counters(log)
+    if totals:
+        lines += ["", "the routers' own counters:"] + [f"  {count:6} {name}" for name, count in totals.most_common()]
     return lines
 
 
-def picture(report: Report) -> str:
+def render_svg(report: Report) -> str:
     """An SVG of how requests ended, in bars of two seconds."""
-    rows = groups(report["windows"])
-    most = max((row.asked for row in rows), default=1)
+    rows = parse_groups(report["windows"])
+    largest = max((row.request_count for row in rows), default=1)
     step = (WIDTH - 2 * MARGIN) / max(1, len(rows))
     shapes = [f'<svg xmlns="http://www.w3.org/2000/svg" width="{WIDTH}" height="{HEIGHT}" font-size="11">']
-    for place, row in enumerate(rows):
-        left, bottom = MARGIN + place * step, float(HEIGHT - MARGIN)
-        for end, count in row.ends().items():
-            height = count / most * (HEIGHT - 2 * MARGIN)
+    for index, row in enumerate(rows):
+        left, bottom = MARGIN + index * step, float(HEIGHT - MARGIN)
+        for outcome, count in row.outcome_counts().items():
+            height = count / largest * (HEIGHT - 2 * MARGIN)
             bottom -= height
             shapes.append(
                 f'<rect x="{left:.1f}" y="{bottom:.1f}" width="{step * 0.85:.1f}" height="{height:.1f}" '
-                f'fill="{COLOURS[end]}"/>'
+                f'fill="{COLOURS[outcome]}"/>'
             )
-        if place % 5 == 0:
+        if index % 5 == 0:
             shapes.append(f'<text x="{left:.1f}" y="{HEIGHT - MARGIN + 14}">{row.name} s</text>')
-    for place, (end, colour) in enumerate(COLOURS.items()):
-        shapes.append(f'<rect x="{MARGIN + place * 90}" y="8" width="10" height="10" fill="{colour}"/>')
-        shapes.append(f'<text x="{MARGIN + place * 90 + 14}" y="17">{end}</text>')
+    for index, (outcome, colour) in enumerate(COLOURS.items()):
+        shapes.append(f'<rect x="{MARGIN + index * 90}" y="8" width="10" height="10" fill="{colour}"/>')
+        shapes.append(f'<text x="{MARGIN + index * 90 + 14}" y="17">{outcome}</text>')
     return "\n".join([*shapes, "</svg>"]) + "\n"
 
 
@@ -125,11 +127,11 @@
     try:
         report = json.loads(args.report.read_text())
         log = args.log.read_text() if args.log else ""
-    except (OSError, ValueError) as e:
-        parser.error(str(e))
-    print("\n".join(lines_of(report, log)))
+    except (OSError, ValueError) as error:
+        parser.error(str(error))
+    print("\n".join(format_account(report, log)))
     if args.picture:
-        args.picture.write_text(picture(report))
+        args.picture.write_text(render_svg(report))
 
 
 if __name__ == "__main__":
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -15,12 +15,12 @@
 CONFIGURATION = "mothshed/control_plane/config_leader_task.py"
 
 
-class NotFound(Exception):
+class StaleSwitchError(Exception):
     """A switch that does not fit the source any more."""
 
 
 @dataclasses.dataclass(frozen=True)
-class Constant:
+class ConstantChange:
     """A constant that gets another value."""
 
     name: str
@@ -28,17 +28,15 @@
 
     def apply(self, root: pathlib.Path) -> None:
         """Change it in a copy of the source; raises NotFound."""
-        place = root / CONSTANTS
-        text, count = re.subn(
-            rf"^{self.name} = [^#\n]*", f"{self.name} = {self.value}  ", place.read_text(), flags=re.M
-        )
+        path = root / CONSTANTS
+        text, count = re.subn(rf"^{self.name} = [^#\n]*", f"{self.name} = {self.value}  ", path.read_text(), flags=re.M)
         if count != 1:
-            raise NotFound(self.name)
-        place.write_text(text)
+            raise StaleSwitchError(self.name)
+        path.write_text(text)
 
 
 @dataclasses.dataclass(frozen=True)
-class Line:
+class TextReplacement:
     """A piece of text in one file that is replaced by another."""
 
     path: str
@@ -47,18 +45,18 @@
 
     def apply(self, root: pathlib.Path) -> None:
         """Change it in a copy of the source; raises NotFound unless it stands there once."""
-        place = root / self.path
-        text = place.read_text()
+        path = root / self.path
+        text = path.read_text()
         if text.count(self.old) != 1:
-            raise NotFound(f"{self.path}: {self.old!r}")
-        place.write_text(text.replace(self.old, self.new))
+            raise StaleSwitchError(f"{self.path}: {self.old!r}")
+        path.write_text(text.replace(self.old, self.new))
 
 
 @dataclasses.dataclass(frozen=True)
 class Mechanism:
     """One mechanism, and the changes that switch it off."""
 
-    changes: tuple[Constant | Line, ...]
+    changes: tuple[ConstantChange | TextReplacement, ...]
 
     def switch_off(self, root: pathlib.Path) -> None:
         """Switch it off in a copy of the source; raises NotFound."""
@@ -66,47 +64,47 @@
             change.apply(root)
 
 
-def constants(**values: str) -> Mechanism:
+def set_constants(**values: str) -> Mechanism:
     """A mechanism that these values of constants switch off."""
-    return Mechanism(tuple(Constant(name, value) for name, value in values.items()))
+    return Mechanism(tuple(ConstantChange(name, value) for name, value in values.items()))
 
 
 MECHANISMS = {
     "hand-over: prefill by another replica": Mechanism(
-        (Line(PLACEMENT, "            if decode_only:\n", "            if True:\n"),)
+        (TextReplacement(PLACEMENT, "            if decode_only:\n", "            if True:\n"),)
     ),
     "home of shared parts by hash": Mechanism(
-        (Line(PLACEMENT, " if shared and names else None\n", " if False else None\n"),)
+        (TextReplacement(PLACEMENT, " if shared and names else None\n", " if False else None\n"),)
     ),
-    "parts known to be kept": constants(MAX_KNOWN_PROMPT_PARTS="0"),
-    "cost of reading shared parts again": constants(REPEATED_PREFILL_RATIO="0.0"),
-    "load of other routers": constants(LOAD_TTL_S="0.0"),
-    "failing replicas left out": constants(MIN_FAILED_REQUESTS="1e9"),
-    "replica left out after a failed send": constants(MIN_EXCLUSION_S="0.0"),
-    "admission by the readers' queue": constants(ADMISSION_QUEUE_RATIO="1e9"),
-    "waiting for a place": constants(PLACEMENT_WAIT_RATIO="0.0", MIN_PLACEMENT_WAIT_S="0.0"),
-    "short readings first": constants(SHORT_PREFILL_S="1e9"),
-    "short prompts read by their writer": constants(SHORT_PROMPT_TOKENS="0"),
-    "replicas of the own zone": constants(CROSS_ZONE_COST_S="0.0"),
-    "extra sends (retry budget)": constants(RETRY_BUDGET_RATIO="0.0", RETRY_SLACK_RATIO="0.0"),
+    "parts known to be kept": set_constants(MAX_KNOWN_PROMPT_PARTS="0"),
+    "cost of reading shared parts again": set_constants(REPEATED_PREFILL_RATIO="0.0"),
+    "load of other routers": set_constants(LOAD_TTL_S="0.0"),
+    "failing replicas left out": set_constants(MIN_FAILED_REQUESTS="1e9"),
+    "replica left out after a failed send": set_constants(MIN_EXCLUSION_S="0.0"),
+    "admission by the readers' queue": set_constants(ADMISSION_QUEUE_RATIO="1e9"),
+    "waiting for a place": set_constants(PLACEMENT_WAIT_RATIO="0.0", MIN_PLACEMENT_WAIT_S="0.0"),
+    "short readings first": set_constants(SHORT_PREFILL_S="1e9"),
+    "short prompts read by their writer": set_constants(SHORT_PROMPT_TOKENS="0"),
+    "replicas of the own zone": set_constants(CROSS_ZONE_COST_S="0.0"),
+    "extra sends (retry budget)": set_constants(RETRY_BUDGET_RATIO="0.0", RETRY_SLACK_RATIO="0.0"),
     "writer reads where a handle is lost": Mechanism(
         (
-            Line(
+            TextReplacement(
                 SENDS,
                 "        if not (self.handle and error.rejected and error.verdict is NOT_RUN):\n",
                 "        if True:\n",
             ),
         )
     ),
-    "resumable stream taken up after silence": constants(FIRST_EVENT_TIMEOUT_S="1e9", NEXT_EVENT_TIMEOUT_S="1e9"),
-    "split follows the load": constants(SHIFT_LOAD_RATIO="1e9"),
-    "several replicas change their part at once": constants(MAX_ROLE_CHANGE_RATIO="0.0"),
+    "resumable stream taken up after silence": set_constants(FIRST_EVENT_TIMEOUT_S="1e9", NEXT_EVENT_TIMEOUT_S="1e9"),
+    "split follows the load": set_constants(SHIFT_LOAD_RATIO="1e9"),
+    "several replicas change their part at once": set_constants(MAX_ROLE_CHANGE_RATIO="0.0"),
     "what a writer carries, learnt": Mechanism(
-        (Line(LOAD_SUMS, "self.capacity(name).full_at(slots)", "constants.DECODE_FULL_SLOT_RATIO * slots"),)
+        (TextReplacement(LOAD_SUMS, "self.capacity(name).full_at(slots)", "constants.DECODE_FULL_SLOT_RATIO * slots"),)
     ),
     "older leases by a new leader": Mechanism(
-        (Line(CONFIGURATION, "return -math.inf if moment is None else float(moment)", "return -math.inf"),)
+        (TextReplacement(CONFIGURATION, "return -math.inf if moment is None else float(moment)", "return -math.inf"),)
     ),
-    "notice before an order": constants(ORDER_NOTICE_S="0.0", ROLE_CHANGE_EXCLUSION_S="0.0"),
-    "kept connections": constants(MAX_IDLE_REPLICA_CONNECTIONS="0"),
+    "notice before an order": set_constants(ORDER_NOTICE_S="0.0", ROLE_CHANGE_EXCLUSION_S="0.0"),
+    "kept connections": set_constants(MAX_IDLE_REPLICA_CONNECTIONS="0"),
 }
--- a/tools/outages.py
+++ b/tools/outages.py
@@ -13,8 +13,8 @@
 import re
 import sys
 
-SERVED_LEAST = 0.4  # share of a window's requests; below it the window is an outage
-ASKED_LEAST = 8  # requests; a window with fewer says nothing
+MIN_SERVED_RATIO = 0.4  # share of a window's requests; below it the window is an outage
+MIN_WINDOW_REQUESTS = 8  # requests; a window with fewer says nothing
 WINDOW_S = 2.0  # s; how long a window of the table is
 UNSETTLED = re.compile(r"^the core was not settled: (.*)$", re.MULTILINE)
 ROWS = re.compile(r"^from second .*\n((?:\d.*\n)*)", re.MULTILINE)
@@ -31,14 +31,14 @@
 
     def is_outage(self) -> bool:
         """Whether hardly anybody was served, by refusals and not by lateness or failures."""
-        few = self.asked >= ASKED_LEAST and self.served < SERVED_LEAST * self.asked
-        return few and 2 * self.refused > self.asked - self.served
+        mostly_unserved = self.asked >= MIN_WINDOW_REQUESTS and self.served < MIN_SERVED_RATIO * self.asked
+        return mostly_unserved and 2 * self.refused > self.asked - self.served
 
 
-def spans(report: str) -> list[tuple[float, float]]:
+def unsettled_spans(report: str) -> list[tuple[float, float]]:
     """When the core was not settled, as (from, to) in seconds; an open end is infinity.
 
-    >>> spans("the core was not settled: 4.5 to 7.500, 22.0 to -")
+    >>> unsettled_spans("the core was not settled: 4.5 to 7.500, 22.0 to -")
     [(4.5, 7.5), (22.0, inf)]
     """
     found = UNSETTLED.search(report)
@@ -46,7 +46,7 @@
     return [(float(start), float("inf") if end.strip() == "-" else float(end)) for start, end in pairs]
 
 
-def windows(report: str) -> list[Window]:
+def parse_windows(report: str) -> list[Window]:
     """The rows of the table by seconds; none if the report has no such table."""
     table = ROWS.search(report)
     found = []
@@ -56,13 +56,14 @@
     return found
 
 
-def outages(report: str) -> list[Window]:
+def find_outages(report: str) -> list[Window]:
     """The windows without service while the core was settled."""
-    unsettled = spans(report)
+    unsettled = unsettled_spans(report)
     return [
         window
-        for window in windows(report)
-        if window.is_outage() and not any(a < window.second + WINDOW_S and window.second < b for a, b in unsettled)
+        for window in parse_windows(report)
+        if window.is_outage()
+        and not any(start < window.second + WINDOW_S and window.second < end for start, end in unsettled)
     ]
 
 
@@ -72,7 +73,7 @@
     parser.add_argument("reports", nargs="+", type=pathlib.Path)
     found = False
     for path in parser.parse_args().reports:
-        for window in outages(path.read_text(errors="replace")):
+        for window in find_outages(path.read_text(errors="replace")):
             found = True
             print(f"{path} {window.second:g} s: {window.asked} asked, {window.served} served, {window.refused} refused")
     sys.exit(1 if found else 0)
