--- a/tools/removed_protections.py
+++ b/tools/removed_protections.py
@@ -1,4 +1,4 @@
-"""The protections, each with a way to take it out, the day that needs it and its rule."""
+"""The protections: name -> (patch that removes it, scenario that needs it, rule that then breaks)."""
 
 import mothshed.configuration.lease as lease
 import mothshed.constants as constants
@@ -161,7 +161,7 @@
         "service returns",
     ),
     "replicas refuse older sends": (
-        weakened.patch(replica_memory.Memory, older=lambda self, sequence: False),
+        weakened.patch(replica_memory.Memory, is_older_sequence=lambda self, sequence: False),
         "freeze_in_write",
         "new after ack",
     ),
