--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,10 +5,10 @@
 
 import pytest
 
+import tools.judged_events as judged_events
 import tools.proof_table as proof_table
 import tools.simulate as simulate
 import tools.simulator.scenarios as scenarios
-import tools.weight as weight
 
 
 @pytest.mark.parametrize("name", list(scenarios.SCENARIOS))
@@ -16,7 +16,7 @@
     broken, fleet = simulate.run_scenario(name, 1)
     assert broken == {}
     assert (
-        proof_table.unexercised_rules(name, weight.weights(fleet, fleet.recovered_at)) == []
+        proof_table.unexercised_rules(name, judged_events.count_by_rule(fleet, fleet.recovered_at)) == []
     )  # each rule judged some event
 
 
--- a/tools/proof_table.py
+++ b/tools/proof_table.py
@@ -9,10 +9,10 @@
 
 import argparse
 
+import tools.judged_events as judged_events
 import tools.protections as protections
 import tools.simulate as simulate
 import tools.simulator.scenarios as scenarios
-import tools.weight as weight
 
 SCENARIOS_BY_FAULT = {
     "crowds": ["crowd", "tenant_rush"],
@@ -83,7 +83,7 @@
 def run_and_weigh(job):
     """Return (day, events judged by each rule, broken rules)."""
     broken, fleet = simulate.run_scenario(*job)
-    return job[0], weight.weights(fleet, fleet.recovered_at), sorted(broken)
+    return job[0], judged_events.count_by_rule(fleet, fleet.recovered_at), sorted(broken)
 
 
 def unexercised_rules(day, weights):
