--- a/tools/judged_events.py
+++ b/tools/judged_events.py
@@ -25,12 +25,18 @@
         "bounced never ran": sum(recorded.rejected(r) for r in fleet.rows),
         "whole and own": sum(bool(r["text"]) for r in fleet.rows),
         "own memory": len(recorded.runs(fleet.ledger, "decode")),
-        "new after ack": sum(any(r["at"] > at + judge.GAP_OLD for at in ack_times) for r in arrivals),
-        "no fall back": sum(any(r["at"] > at + judge.GAP_BACK for at in document_times[1:]) for r in arrivals),
+        "new after ack": sum(any(r["at"] > at + judge.OLD_SEQUENCE_AFTER_ACK_S for at in ack_times) for r in arrivals),
+        "no fall back": sum(
+            any(r["at"] > at + judge.OLD_SEQUENCE_AFTER_SEEN_S for at in document_times[1:]) for r in arrivals
+        ),
         "writes kept": len(fleet.writes) + len(fleet.refused),
         "read back": 1,
         "leaving": sum(
-            any(r["at"] > since + judge.GAP_LEAVE for spans in fleet.list.history().values() for since, until in spans)
+            any(
+                r["at"] > since + judge.SENDS_AFTER_LEAVING_S
+                for spans in fleet.list.history().values()
+                for since, until in spans
+            )
             for r in arrivals
         ),
         "nothing dropped": len(request_ids),
