--- a/tools/measure.py
+++ b/tools/measure.py
@@ -26,53 +26,53 @@
 import tools.simulator.fleet as sim
 
 RATES = {"pairing": 60.0, "split": 28.0, "fairness": 30.0, "gap": 12.0, "scale": 1.0}
-SITES = 12  # sites with a shared prefix of their own, for the pairing policies
+PREFIX_SITES = 12  # sites with a shared prefix of their own, for the pairing policies
 LONG_PROMPTS = {"summary": (1.0, 6000, 2048, 8, False, True)}
 LONG_ANSWERS = {"question": (1.0, 200, 256, 90, False, True)}
 
 
-def later(calls, span):
-    return [(at + span, call) for at, call in calls]
+def shift_calls(calls, delay_s):
+    return [(at + delay_s, call) for at, call in calls]
 
 
-def play(seed, calls, body, length, deployment="patinetes", routers=3, replicas=5, hurt=None):
+def run_fleet(seed, calls, body, seconds, deployment="patinetes", routers=3, replicas=5, inject_fault=None):
     """One run of a fleet over recorded calls; returns the fleet after the load came to rest."""
-    f = sim.SimFleet(seed, deployment, routers=routers, replicas=replicas)
-    f.ready(body=body)
+    fleet = sim.SimFleet(seed, deployment, routers=routers, replicas=replicas)
+    fleet.ready(body=body)
     zones = collections.defaultdict(list)
-    for name in f.names("route"):
-        zones[f.settings[name]["cell"]].append(f.settings[name]["http"])
-    load = callers.Load(f.ops, seed, dict(zones), body["model"], calls)
-    load.rows = f.rows
-    f.operator(load.run)
-    if hurt:
-        hurt(f)
-    f.run(length + 12)
-    return f
-
-
-def figures(rows):
+    for name in fleet.names("route"):
+        zones[fleet.settings[name]["cell"]].append(fleet.settings[name]["http"])
+    load = callers.Load(fleet.ops, seed, dict(zones), body["model"], calls)
+    load.rows = fleet.rows
+    fleet.operator(load.run)
+    if inject_fault:
+        inject_fault(fleet)
+    fleet.run(seconds + 12)
+    return fleet
+
+
+def summarize_rows(rows):
     """What came of the calls: shares over calls, first tokens over whole answers."""
-    by = collections.defaultdict(list)
+    rows_by_id = collections.defaultdict(list)
     for row in rows:
-        by[row["id"]].append(row)
-    good, first = 0, []
-    for rs in by.values():
-        limit = 2.5 if rs[0]["kind"] == "flag" else 8.0
-        if rs[-1]["end"] == "whole":
-            first.append(rs[-1]["first"] - rs[0]["sent"])
-            good += rs[-1]["done"] - rs[0]["sent"] <= limit
+        rows_by_id[row["id"]].append(row)
+    in_time_count, first_token_times = 0, []
+    for attempts in rows_by_id.values():
+        limit = 2.5 if attempts[0]["kind"] == "flag" else 8.0
+        if attempts[-1]["end"] == "whole":
+            first_token_times.append(attempts[-1]["first"] - attempts[0]["sent"])
+            in_time_count += attempts[-1]["done"] - attempts[0]["sent"] <= limit
     return {
-        "asked": len(by),
-        "in_time": round(good / max(1, len(by)), 4),
-        "first_p50": round(fleet_run.quantile(first, 0.5), 4),
-        "first_p95": round(fleet_run.quantile(first, 0.95), 4),
-        "bounces": sum(r["status"] == 503 for r in rows),
+        "asked": len(rows_by_id),
+        "in_time": round(in_time_count / max(1, len(rows_by_id)), 4),
+        "first_p50": round(fleet_run.quantile(first_token_times, 0.5), 4),
+        "first_p95": round(fleet_run.quantile(first_token_times, 0.95), 4),
+        "bounces": sum(row["status"] == 503 for row in rows),
     }
 
 
-def show(name, said):
-    print(f"{name:28} " + "  ".join(f"{k} {v}" for k, v in said.items()), flush=True)
+def print_figures(name, figures):
+    print(f"{name:28} " + "  ".join(f"{key} {value}" for key, value in figures.items()), flush=True)
 
 
 def pairing(args, calls):
@@ -80,14 +80,16 @@
     table = {}
     for policy in ("least_usage", "prefix_affinity"):
         body = {**body, "pairings": [{"pool": "main", "policy": policy}]}
-        f = play(args.seed, calls, body, args.seconds, args.deployment)
-        read = [r for r in f.ledger if r["kind"] == "prefilled"]
-        start = {r["run"]: r["at"] for r in f.ledger if r["kind"] == "run"}
+        fleet = run_fleet(args.seed, calls, body, args.seconds, args.deployment)
+        prefills = [row for row in fleet.ledger if row["kind"] == "prefilled"]
+        started_at = {row["run"]: row["at"] for row in fleet.ledger if row["kind"] == "run"}
         table[policy] = {
-            **figures(f.rows),
-            "prefill_mean": round(sum(r["at"] - start[r["run"]] for r in read) / max(1, len(read)), 4),
+            **summarize_rows(fleet.rows),
+            "prefill_mean": round(
+                sum(row["at"] - started_at[row["run"]] for row in prefills) / max(1, len(prefills)), 4
+            ),
         }
-        show(policy, table[policy])
+        print_figures(policy, table[policy])
     return table
 
 
@@ -96,42 +98,52 @@
     for name, shift in (("fixed split", False), ("shifting split", True)):
         body = real_fleet.document(args.deployment)
         body["pools"] = {"main": {**body["pools"]["main"], "shift": shift}}
-        f = play(args.seed, calls, body, args.seconds, args.deployment)
-        orders = sum(r["kind"] == "order" and r["taken"] for r in f.ledger)
-        table[name] = {**figures(f.rows), "orders": orders}
-        show(name, table[name])
+        fleet = run_fleet(args.seed, calls, body, args.seconds, args.deployment)
+        orders = sum(row["kind"] == "order" and row["taken"] for row in fleet.ledger)
+        table[name] = {**summarize_rows(fleet.rows), "orders": orders}
+        print_figures(name, table[name])
     return table
 
 
 def fairness(args, calls):
     table = {}
     tenants = deployments.DEPLOYMENTS[args.deployment]["tenants"]
-    quiet = [c for c in calls if c[1]["tenant"] != tenants[0]]
-    own = [c for c in calls if c[1]["tenant"] == tenants[0]]
+    other_calls = [call for call in calls if call[1]["tenant"] != tenants[0]]
+    rushing_calls = [call for call in calls if call[1]["tenant"] == tenants[0]]
     rush = callers.traffic(f"{args.seed}-rush", tenants[:1], 10 * args.rate / len(tenants), args.seconds)
-    for name, many in (("no rush", calls), (f"{tenants[0]} ten-fold", sorted(quiet + own + rush, key=lambda c: c[0]))):
-        f = play(args.seed, many, real_fleet.document(args.deployment), args.seconds, args.deployment)
-        for who, test in (
-            ("others", lambda r: r["tenant"] != tenants[0]),
-            (tenants[0], lambda r: r["tenant"] == tenants[0]),
+    for name, run_calls in (
+        ("no rush", calls),
+        (f"{tenants[0]} ten-fold", sorted(other_calls + rushing_calls + rush, key=lambda call: call[0])),
+    ):
+        fleet = run_fleet(args.seed, run_calls, real_fleet.document(args.deployment), args.seconds, args.deployment)
+        for group, in_group in (
+            ("others", lambda row: row["tenant"] != tenants[0]),
+            (tenants[0], lambda row: row["tenant"] == tenants[0]),
         ):
-            table[f"{name}: {who}"] = figures([r for r in f.rows if test(r)])
-            show(f"{name}: {who}", table[f"{name}: {who}"])
+            table[f"{name}: {group}"] = summarize_rows([row for row in fleet.rows if in_group(row)])
+            print_figures(f"{name}: {group}", table[f"{name}: {group}"])
     return table
 
 
 def gap(args, calls):
     """The longest time without a whole answer begun, and bounces, around a death of the leader."""
     table = {}
-    for name, hurt in (
+    for name, inject_fault in (
         ("no death", None),
-        ("leader killed at 5 s", lambda f: f.call_later(5, lambda: f.kill(f.leader()))),
+        ("leader killed at 5 s", lambda fleet: fleet.call_later(5, lambda: fleet.kill(fleet.leader()))),
     ):
-        f = play(args.seed, calls, real_fleet.document(args.deployment), args.seconds, args.deployment, hurt=hurt)
-        first = sorted(r["first"] for r in f.rows if r["end"] == "whole")
-        longest_gap = max(later - earlier for earlier, later in itertools.pairwise(first))
-        table[name] = {**figures(f.rows), "longest_gap": round(longest_gap, 3)}
-        show(name, table[name])
+        fleet = run_fleet(
+            args.seed,
+            calls,
+            real_fleet.document(args.deployment),
+            args.seconds,
+            args.deployment,
+            inject_fault=inject_fault,
+        )
+        first_token_times = sorted(row["first"] for row in fleet.rows if row["end"] == "whole")
+        longest_gap = max(next_at - previous_at for previous_at, next_at in itertools.pairwise(first_token_times))
+        table[name] = {**summarize_rows(fleet.rows), "longest_gap": round(longest_gap, 3)}
+        print_figures(name, table[name])
     return table
 
 
@@ -139,43 +151,43 @@
     """How long until every router serves, hears of a new document, and how much is sent for it."""
     table = {}
     for routers in (50, 200):
-        f = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
-        f.ready(timeout_s=60)
-        began = f.loop.time
-        parts = [f.parts[n] for n in f.names("route")]
-        seen = collections.Counter(a for p in parts for a in p.gossip.view)
-        count = f.net.count
-        f.run(10)
-        rate = (f.net.count - count) / 10 / (routers + 3)
-        f.operator(functools.partial(f.apply, "second"))
-        while not (len(f.writes) > 1 and all(p.lease.active == 2 for p in parts)):
-            f.run(0.005)
-            if f.loop.time > began + 60:
+        fleet = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
+        fleet.ready(timeout_s=60)
+        started_at = fleet.loop.time
+        router_parts = [fleet.parts[name] for name in fleet.names("route")]
+        seen_counts = collections.Counter(address for router in router_parts for address in router.gossip.view)
+        sent_before = fleet.net.count
+        fleet.run(10)
+        records_per_node_s = (fleet.net.count - sent_before) / 10 / (routers + 3)
+        fleet.operator(functools.partial(fleet.apply, "second"))
+        while not (len(fleet.writes) > 1 and all(router.lease.active == 2 for router in router_parts)):
+            fleet.run(0.005)
+            if fleet.loop.time > started_at + 60:
                 raise RuntimeError("the second document did not reach every router")
-        known = sum(len(p.gossip.view) for p in parts) / routers
+        mean_view = sum(len(router.gossip.view) for router in router_parts) / routers
         table[routers] = {
-            "ready_s": round(began - 1000.0, 2),
-            "view_mean": round(known, 1),
-            "unknown_to_all": sum(f.settings[n]["address"] not in seen for n in f.names("route")),
-            "records_per_node_s": round(rate, 1),
-            "delivered_after_ack_s": round(f.loop.time - f.writes[-1]["acked"], 3),
+            "ready_s": round(started_at - 1000.0, 2),
+            "view_mean": round(mean_view, 1),
+            "unknown_to_all": sum(fleet.settings[name]["address"] not in seen_counts for name in fleet.names("route")),
+            "records_per_node_s": round(records_per_node_s, 1),
+            "delivered_after_ack_s": round(fleet.loop.time - fleet.writes[-1]["acked"], 3),
         }
-        show(f"{routers} routers", table[routers])
+        print_figures(f"{routers} routers", table[routers])
     return table
 
 
-def swing(args):
+def changing_traffic(args):
     half = args.seconds / 2
     tenants = deployments.DEPLOYMENTS[args.deployment]["tenants"]
-    one = callers.traffic(f"{args.seed}-long-prompts", tenants, args.rate, half, LONG_PROMPTS)
-    two = callers.traffic(f"{args.seed}-long-answers", tenants, args.rate, half, LONG_ANSWERS)
-    return one + later(two, half)
+    first_half = callers.traffic(f"{args.seed}-long-prompts", tenants, args.rate, half, LONG_PROMPTS)
+    second_half = callers.traffic(f"{args.seed}-long-answers", tenants, args.rate, half, LONG_ANSWERS)
+    return first_half + shift_calls(second_half, half)
 
 
 def main(argv=None):
-    what = {"pairing": pairing, "split": split, "fairness": fairness, "scale": scale, "gap": gap}
+    measurements = {"pairing": pairing, "split": split, "fairness": fairness, "scale": scale, "gap": gap}
     parser = argparse.ArgumentParser(description="measurements on recorded traffic")
-    parser.add_argument("what", choices=sorted(what))
+    parser.add_argument("what", choices=sorted(measurements))
     parser.add_argument("--deployment", default="patinetes", choices=sorted(deployments.DEPLOYMENTS))
     parser.add_argument("--seed", default="1")
     parser.add_argument("--seconds", type=float, default=40.0)
@@ -190,17 +202,17 @@
             calls = [(at, call) for at, call in json.loads(pathlib.Path(args.traffic).read_text())]
         else:
             calls = (
-                swing(args)
+                changing_traffic(args)
                 if args.what == "split"
                 else callers.traffic(
-                    args.seed, tenants, args.rate, args.seconds, sites=SITES if args.what == "pairing" else 1
+                    args.seed, tenants, args.rate, args.seconds, sites=PREFIX_SITES if args.what == "pairing" else 1
                 )
             )
-    except (OSError, ValueError, TypeError) as e:
-        parser.error(f"--traffic: {args.traffic}: {e}")
+    except (OSError, ValueError, TypeError) as error:
+        parser.error(f"--traffic: {args.traffic}: {error}")
     if args.record:
         pathlib.Path(args.record).write_text(json.dumps(calls))
-    return what[args.what](args, calls)
+    return measurements[args.what](args, calls)
 
 
 if __name__ == "__main__":
