--- a/tools/measure.py
+++ b/tools/measure.py
@@ -1,14 +1,14 @@
 """Measurements, each of two or more variants on the same recorded traffic.
 
-python -m tools.measure pairing      the pairing policies
-python -m tools.measure split        a shifting split against a fixed one
-python -m tools.measure fairness     a tenant rushing ten-fold against no rush
+python -m tools.measure pairing      the pairing policies compared
+python -m tools.measure split        a split that follows the load, against a fixed split
+python -m tools.measure fairness     one tenant sending ten times its traffic, against normal traffic
 python -m tools.measure scale        membership and delivery at 50 and 200 nodes
-python -m tools.measure gap          service around a leader's death
+python -m tools.measure gap          service around a failure of the leader
 
-All run in the simulator, so that a figure is the same on every machine; ratios
-count, not the seconds of the stand-ins' model of a replica. --traffic FILE replays
-a recording made with --record FILE.
+All of them run in the simulator, so that a figure is the same on every machine. Compare the ratios:
+the seconds depend on the model of a replica in the stand-ins. --traffic FILE replays a recording
+made with --record FILE.
 """
 
 import argparse
@@ -26,7 +26,7 @@
 import tools.simulator.fleet as sim
 
 RATES = {"pairing": 60.0, "split": 28.0, "fairness": 30.0, "gap": 12.0, "scale": 1.0}
-PREFIX_SITES = 12  # sites with a shared prefix of their own, for the pairing policies
+PREFIX_SITES = 12  # sites, each with its own shared prefix, for the pairing policies
 LONG_PROMPTS = {"summary": (1.0, 6000, 2048, 8, False, True)}
 LONG_ANSWERS = {"question": (1.0, 200, 256, 90, False, True)}
 
@@ -36,7 +36,7 @@
 
 
 def run_fleet(seed, calls, body, seconds, deployment="patinetes", routers=3, replicas=5, inject_fault=None):
-    """One run of a fleet over recorded calls; returns the fleet after the load came to rest."""
+    """Run a simulated fleet on recorded calls; return the fleet after the load has finished."""
     fleet = sim.SimFleet(seed, deployment, routers=routers, replicas=replicas)
     fleet.ready(body=body)
     zones = collections.defaultdict(list)
@@ -52,7 +52,7 @@
 
 
 def summarize_rows(rows):
-    """What came of the calls: shares over calls, first tokens over whole answers."""
+    """Return the outcome figures of the calls; times to the first token count whole answers only."""
     rows_by_id = collections.defaultdict(list)
     for row in rows:
         rows_by_id[row["id"]].append(row)
@@ -126,7 +126,7 @@
 
 
 def gap(args, calls):
-    """The longest time without a whole answer begun, and bounces, around a death of the leader."""
+    """Measure the longest time in which no whole answer began, and rejections, around a failure of the leader."""
     table = {}
     for name, inject_fault in (
         ("no death", None),
@@ -148,7 +148,7 @@
 
 
 def scale(args, calls):
-    """How long until every router serves, hears of a new document, and how much is sent for it."""
+    """Measure the time until every router serves and has a new document, and the records sent per node."""
     table = {}
     for routers in (50, 200):
         fleet = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
@@ -191,7 +191,7 @@
     parser.add_argument("--deployment", default="patinetes", choices=sorted(deployments.DEPLOYMENTS))
     parser.add_argument("--seed", default="1")
     parser.add_argument("--seconds", type=float, default=40.0)
-    parser.add_argument("--rate", type=float, default=0.0, help="requests a second; 0: the measurement's own")
+    parser.add_argument("--rate", type=float, default=0.0, help="requests a second; 0: the default of the measurement")
     parser.add_argument("--record", help="write the traffic to this file")
     parser.add_argument("--traffic", help="replay this recording")
     args = parser.parse_args(argv)
