--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,70 +15,77 @@
 import tools.hollow.trials as trials
 
 
-def few(routers=16, replicas=24, requests=0.0):
+def small_size(routers=16, replicas=24, requests=0.0):
     return design.Size(routers=routers, replicas=replicas, models=3, tenants=6, requests=requests)
 
 
 @pytest.fixture(scope="module")
 def steady():
-    return {n: trials.steady(few(n)) for n in (16, 24, 32, 48)}
+    return {count: trials.steady(small_size(count)) for count in (16, 24, 32, 48)}
 
 
 def test_a_router_sends_no_more_when_there_are_more_of_them(steady):
-    sent = [said["router"]["sent records"] for said in steady.values()]
+    sent = [figures["router"]["sent records"] for figures in steady.values()]
     assert max(sent) < 1.05 * min(sent)
-    told = [said["router"]["sent bytes"] for said in steady.values()]
-    assert max(told) < 1.05 * min(told)
+    sent_bytes = [figures["router"]["sent bytes"] for figures in steady.values()]
+    assert max(sent_bytes) < 1.05 * min(sent_bytes)
 
 
 def test_the_owner_is_asked_four_times_a_second_by_everyone(steady):
-    beat = 1 / constants.LEASE_RENEWAL_INTERVAL_S
-    assert {n: said["state"]["asks at the leader"] for n, said in steady.items()} == {n: beat * (n + 2) for n in steady}
-    assert {n: said["state"]["leaseholders"] for n, said in steady.items()} == {n: n + 3 for n in steady}
+    asks_per_s = 1 / constants.LEASE_RENEWAL_INTERVAL_S
+    assert {count: figures["state"]["asks at the leader"] for count, figures in steady.items()} == {
+        count: asks_per_s * (count + 2) for count in steady
+    }
+    assert {count: figures["state"]["leaseholders"] for count, figures in steady.items()} == {
+        count: count + 3 for count in steady
+    }
 
 
 def test_a_view_stays_bounded_and_nothing_crashes(steady):
-    for said in steady.values():
-        assert said["state"]["neighbours"] <= transport_constants.MAX_VIEW_NEIGHBOURS and said["state"]["faults"] == 0
+    for figures in steady.values():
+        assert (
+            figures["state"]["neighbours"] <= transport_constants.MAX_VIEW_NEIGHBOURS
+            and figures["state"]["faults"] == 0
+        )
 
 
 def test_a_change_is_in_force_everywhere(steady):
-    for n, said in steady.items():
-        assert said["change"]["in force after"] < design.IN_FORCE_S
-        assert said["change"]["news records"] >= n + 2
+    for count, figures in steady.items():
+        assert figures["change"]["in force after"] < design.IN_FORCE_S
+        assert figures["change"]["news records"] >= count + 2
 
 
 def test_the_list_is_read_by_one_and_its_news_grows_with_neither_replicas_nor_routers(steady):
-    got = {n: trials.steady(few(6, n))["router"]["got bytes, list"] for n in (12, 24, 36, 48)}
-    assert max(got.values()) <= 1.05 * min(got.values()) and min(got.values()) > 0
-    asked = [said["state"]["list pages asked"] for said in steady.values()]
+    list_bytes = {count: trials.steady(small_size(6, count))["router"]["got bytes, list"] for count in (12, 24, 36, 48)}
+    assert max(list_bytes.values()) <= 1.05 * min(list_bytes.values()) and min(list_bytes.values()) > 0
+    asked = [figures["state"]["list pages asked"] for figures in steady.values()]
     assert max(asked) <= 2 / constants.LIST_POLL_INTERVAL_S and min(asked) > 0  # one reader, one page
 
 
 def test_a_document_grows_by_the_same_bytes_with_each_tenant():
-    size = {n: parts.documents(n)["document bytes"] for n in (10, 20, 30, 40)}
+    size = {count: parts.documents(count)["document bytes"] for count in (10, 20, 30, 40)}
     assert size[20] - size[10] == size[30] - size[20] == size[40] - size[30]
 
 
 def test_sums_reach_each_router_for_every_busy_replica():
     """The sums a router is told do not depend on who else reports, only on how many replicas are busy."""
-    said = {n: trials.steady(few(n, 24, 30.0))["router"] for n in (12, 24)}
-    assert abs(said[24]["got bytes, usage"] / said[12]["got bytes, usage"] - 1) < 0.15
-    assert said[12]["sent records, usage duty"] == said[24]["sent records, usage duty"]
+    figures = {count: trials.steady(small_size(count, 24, 30.0))["router"] for count in (12, 24)}
+    assert abs(figures[24]["got bytes, usage"] / figures[12]["got bytes, usage"] - 1) < 0.15
+    assert figures[12]["sent records, usage duty"] == figures[24]["sent records, usage duty"]
 
 
 def test_a_cut_region_stops_and_the_rest_goes_on():
-    south = trials.region_cut(routers=9)
-    assert south["leased in the cut region at the end"] == 0
-    assert south["leased outside at the end"] == south["routers outside"]
-    assert south["in force outside after"] < design.IN_FORCE_S
-    keepers = trials.region_cut(routers=9, shared=True, whose="north")
-    assert keepers["leased outside at the end"] == 0 and keepers["in force outside after"] is None
+    south_cut = trials.region_cut(routers=9)
+    assert south_cut["leased in the cut region at the end"] == 0
+    assert south_cut["leased outside at the end"] == south_cut["routers outside"]
+    assert south_cut["in force outside after"] < design.IN_FORCE_S
+    north_cut = trials.region_cut(routers=9, shared=True, whose="north")
+    assert north_cut["leased outside at the end"] == 0 and north_cut["in force outside after"] is None
 
 
 def test_a_hollow_request_is_answered_whole():
-    said = parts.requests(24, events=3)
-    assert said["answered"] and said["request"] > 0
+    figures = parts.requests(24, events=3)
+    assert figures["answered"] and figures["request"] > 0
 
 
 def test_the_design_size_is_the_letters():
@@ -96,13 +103,13 @@
 
 
 @pytest.mark.parametrize(
-    "words, said", [(["--only", "nothing"], "no sweep is named nothing"), (["--jobs", "9"], "--jobs")]
+    "arguments, message", [(["--only", "nothing"], "no sweep is named nothing"), (["--jobs", "9"], "--jobs")]
 )
-def test_bad_words_are_named(words, said):
-    done = subprocess.run([sys.executable, "-m", "tools.capacity", *words], capture_output=True, text=True)
-    assert done.returncode == 2 and said in " ".join((done.stdout + done.stderr).split())
+def test_bad_arguments_are_named(arguments, message):
+    done = subprocess.run([sys.executable, "-m", "tools.capacity", *arguments], capture_output=True, text=True)
+    assert done.returncode == 2 and message in " ".join((done.stdout + done.stderr).split())
 
 
 def test_a_failed_trial_is_an_error():
-    with pytest.raises(capacity.TrialFailed, match="no_such"):
-        capacity.trial("trials", "no_such", {})
+    with pytest.raises(capacity.TrialError, match="no_such"):
+        capacity.run_trial("trials", "no_such", {})
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -22,10 +22,10 @@
 import tools.hollow.fits as fits
 import tools.hollow.sweeps as sweeps
 
-FOLDER = pathlib.Path(__file__).parent.parent / "docs" / "capacity"
-LONGEST = 900  # s; a trial that takes longer is ended
-JOBS_MOST = 6  # processes at once
-PLOTTED = {
+RESULTS_FOLDER = pathlib.Path(__file__).parent.parent / "docs" / "capacity"
+TRIAL_TIMEOUT_S = 900  # s; a trial that takes longer is ended
+MAX_JOBS = 6  # processes at once
+PLOTTED_FIGURES = {
     "router: gossip processor",
     "keepers: configuration and agreement processor",
     "router: usage bytes got",
@@ -35,71 +35,74 @@
 }
 
 
-class TrialFailed(Exception):
+class TrialError(Exception):
     """A trial's process ended without figures."""
 
 
-def trial(module, name, words):
+def run_trial(module, name, arguments):
     """One trial in a process of its own."""
-    done = subprocess.run(
-        [sys.executable, "-m", "tools.hollow.one", module, name, json.dumps(words)],
+    process = subprocess.run(
+        [sys.executable, "-m", "tools.hollow.one", module, name, json.dumps(arguments)],
         capture_output=True,
         text=True,
-        timeout=LONGEST,
-        cwd=FOLDER.parent.parent,
+        timeout=TRIAL_TIMEOUT_S,
+        cwd=RESULTS_FOLDER.parent.parent,
     )
-    if done.returncode:
-        raise TrialFailed(f"{module} {name} {words}: {done.stderr[-400:]}")
-    return json.loads(done.stdout)
+    if process.returncode:
+        raise TrialError(f"{module} {name} {arguments}: {process.stderr[-400:]}")
+    return json.loads(process.stdout)
 
 
-def measure(table, jobs, out=print):
+def run_sweeps(table, jobs, output=print):
     """Map each sweep to its [[words, figures], ...]; the dearest trials begin first."""
-    found = {sweep: [None] * len(rows) for sweep, (module, name, rows) in table.items()}
-    todo = [
-        (sweep, at, module, name, words)
+    results = {sweep: [None] * len(rows) for sweep, (module, name, rows) in table.items()}
+    trials = [
+        (sweep, index, module, name, arguments)
         for sweep, (module, name, rows) in table.items()
-        for at, words in reversed(list(enumerate(rows)))
+        for index, arguments in reversed(list(enumerate(rows)))
     ]
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
-        due = {pool.submit(trial, module, name, words): (sweep, at, words) for sweep, at, module, name, words in todo}
-        for one in concurrent.futures.as_completed(due):
-            sweep, at, words = due[one]
-            found[sweep][at] = [words, one.result()]
-            out(f"done: {sweep} {words}")
-    return found
-
-
-def slopes(found):
+        pending = {
+            pool.submit(run_trial, module, name, arguments): (sweep, index, arguments)
+            for sweep, index, module, name, arguments in trials
+        }
+        for future in concurrent.futures.as_completed(pending):
+            sweep, index, arguments = pending[future]
+            results[sweep][index] = [arguments, future.result()]
+            output(f"done: {sweep} {arguments}")
+    return results
+
+
+def fit_slopes(results):
     """[(figure, sweep, unit, points, line)] for the sweeps that were measured."""
     rows = []
     for name, sweep, path, unit in sweeps.SLOPES:
-        if sweep in found:
-            points = sweeps.points(found, sweep, path)
+        if sweep in results:
+            points = sweeps.points(results, sweep, path)
             rows.append((name, sweep, unit, points, fits.line(points)))
     return rows
 
 
-def show(found, out=print):
-    for name, sweep, unit, points, line in slopes(found):
-        said = "  ".join(f"{x:g}: {y:.4g}" for x, y in points)
-        due = sweeps.DESIGN[sweep]
-        out(
-            f"{name} [{unit}] by {sweep}: at {due:g} {fits.at(line, due):.4g}, "
+def print_results(results, output=print):
+    for name, sweep, unit, points, line in fit_slopes(results):
+        measured = "  ".join(f"{size:g}: {figure:.4g}" for size, figure in points)
+        design_size = sweeps.DESIGN[sweep]
+        output(
+            f"{name} [{unit}] by {sweep}: at {design_size:g} {fits.at(line, design_size):.4g}, "
             f"slope {line['slope']:.4g}, constant {line['constant']:.4g}, "
-            f"error {100 * line['error']:.1f} %, worst {100 * line['worst']:.1f} %   ({said})"
+            f"error {100 * line['error']:.1f} %, worst {100 * line['worst']:.1f} %   ({measured})"
         )
     for sweep in ("idle", "cuts"):
-        for words, said in found.get(sweep, []):
-            rounded = {k: round(v, 3) if isinstance(v, float) else v for k, v in said.items()}
-            out(f"{sweep} {json.dumps(words)}: {json.dumps(rounded)}")
+        for arguments, figures in results.get(sweep, []):
+            rounded = {key: round(value, 3) if isinstance(value, float) else value for key, value in figures.items()}
+            output(f"{sweep} {json.dumps(arguments)}: {json.dumps(rounded)}")
 
 
-def draw(found):
-    for name, sweep, unit, points, line in slopes(found):
-        if name in PLOTTED:
+def plot_results(results):
+    for name, sweep, unit, points, line in fit_slopes(results):
+        if name in PLOTTED_FIGURES:
             stem = f"{name} by {sweep}".replace(":", "").replace(" ", "-").replace("'", "")
-            fits.plot(FOLDER / f"{stem}.svg", name, sweep, unit, points, line)
+            fits.plot(RESULTS_FOLDER / f"{stem}.svg", name, sweep, unit, points, line)
 
 
 @cappa.command(
@@ -110,7 +113,7 @@
     only: typing.Annotated[list[str], cappa.Arg(long=True, help=f"a sweep: {', '.join(sweeps.FULL)}")] = (
         dataclasses.field(default_factory=list)
     )
-    jobs: typing.Annotated[int, cappa.Arg(long=True, help=f"processes at once, at most {JOBS_MOST}")] = 4
+    jobs: typing.Annotated[int, cappa.Arg(long=True, help=f"processes at once, at most {MAX_JOBS}")] = 4
     small: typing.Annotated[bool, cappa.Arg(long=True, help="the sizes of the test; nothing is kept")] = False
     kept: typing.Annotated[bool, cappa.Arg(long="show", help="shows the kept figures, measures nothing")] = False
 
@@ -119,20 +122,22 @@
         unknown = [name for name in self.only if name not in table]
         if unknown:
             raise cappa.Exit(f"--only: no sweep is named {', '.join(unknown)}", code=2)
-        if not 1 <= self.jobs <= JOBS_MOST:
-            raise cappa.Exit(f"--jobs: {self.jobs} is not 1 to {JOBS_MOST}", code=2)
+        if not 1 <= self.jobs <= MAX_JOBS:
+            raise cappa.Exit(f"--jobs: {self.jobs} is not 1 to {MAX_JOBS}", code=2)
         if self.kept:
-            show(json.loads((FOLDER / "figures.json").read_text()))
+            print_results(json.loads((RESULTS_FOLDER / "figures.json").read_text()))
             return
         try:
-            found = measure({k: v for k, v in table.items() if not self.only or k in self.only}, self.jobs)
-        except (TrialFailed, subprocess.TimeoutExpired) as e:
-            raise cappa.Exit(str(e), code=1) from e
-        show(found)
+            results = run_sweeps(
+                {key: value for key, value in table.items() if not self.only or key in self.only}, self.jobs
+            )
+        except (TrialError, subprocess.TimeoutExpired) as error:
+            raise cappa.Exit(str(error), code=1) from error
+        print_results(results)
         if not self.small and not self.only:
-            FOLDER.mkdir(exist_ok=True)
-            (FOLDER / "figures.json").write_text(json.dumps(found, indent=1) + "\n")
-            draw(found)
+            RESULTS_FOLDER.mkdir(exist_ok=True)
+            (RESULTS_FOLDER / "figures.json").write_text(json.dumps(results, indent=1) + "\n")
+            plot_results(results)
 
 
 def main():
