--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Hollow fleets, small: what each role sends by size. No times: only counts, bytes and their lines."""
+"""Tests for small fleets of the load model: records and bytes by fleet size. Times are not checked."""
 
 import subprocess
 import sys
@@ -24,14 +24,14 @@
     return {count: trials.steady(small_size(count)) for count in (16, 24, 32, 48)}
 
 
-def test_a_router_sends_no_more_when_there_are_more_of_them(steady):
+def test_the_traffic_of_a_router_does_not_grow_with_the_number_of_routers(steady):
     sent = [figures["router"]["sent records"] for figures in steady.values()]
     assert max(sent) < 1.05 * min(sent)
     sent_bytes = [figures["router"]["sent bytes"] for figures in steady.values()]
     assert max(sent_bytes) < 1.05 * min(sent_bytes)
 
 
-def test_the_owner_is_asked_four_times_a_second_by_everyone(steady):
+def test_every_node_renews_its_lease_at_the_leader_in_each_interval(steady):
     asks_per_s = 1 / constants.LEASE_RENEWAL_INTERVAL_S
     assert {count: figures["state"]["asks at the leader"] for count, figures in steady.items()} == {
         count: asks_per_s * (count + 2) for count in steady
@@ -41,7 +41,7 @@
     }
 
 
-def test_a_view_stays_bounded_and_nothing_crashes(steady):
+def test_the_gossip_view_stays_bounded_without_faults(steady):
     for figures in steady.values():
         assert (
             figures["state"]["neighbours"] <= transport_constants.MAX_VIEW_NEIGHBOURS
@@ -49,32 +49,32 @@
         )
 
 
-def test_a_change_is_in_force_everywhere(steady):
+def test_a_change_takes_effect_everywhere_in_time(steady):
     for count, figures in steady.items():
         assert figures["change"]["in force after"] < design.IN_FORCE_S
         assert figures["change"]["news records"] >= count + 2
 
 
-def test_the_list_is_read_by_one_and_its_news_grows_with_neither_replicas_nor_routers(steady):
+def test_one_node_polls_the_replica_list_and_its_updates_do_not_grow_with_the_fleet(steady):
     list_bytes = {count: trials.steady(small_size(6, count))["router"]["got bytes, list"] for count in (12, 24, 36, 48)}
     assert max(list_bytes.values()) <= 1.05 * min(list_bytes.values()) and min(list_bytes.values()) > 0
     asked = [figures["state"]["list pages asked"] for figures in steady.values()]
     assert max(asked) <= 2 / constants.LIST_POLL_INTERVAL_S and min(asked) > 0  # one reader, one page
 
 
-def test_a_document_grows_by_the_same_bytes_with_each_tenant():
+def test_the_document_size_is_linear_in_the_number_of_tenants():
     size = {count: parts.documents(count)["document bytes"] for count in (10, 20, 30, 40)}
     assert size[20] - size[10] == size[30] - size[20] == size[40] - size[30]
 
 
-def test_sums_reach_each_router_for_every_busy_replica():
-    """The sums a router is told do not depend on who else reports, only on how many replicas are busy."""
+def test_load_sums_depend_on_busy_replicas_and_not_on_routers():
+    """The load sums sent to a router depend on the number of busy replicas, not on the number of reporting routers."""
     figures = {count: trials.steady(small_size(count, 24, 30.0))["router"] for count in (12, 24)}
     assert abs(figures[24]["got bytes, usage"] / figures[12]["got bytes, usage"] - 1) < 0.15
     assert figures[12]["sent records, usage duty"] == figures[24]["sent records, usage duty"]
 
 
-def test_a_cut_region_stops_and_the_rest_goes_on():
+def test_a_partitioned_region_loses_its_leases_and_the_others_continue():
     south_cut = trials.region_cut(routers=9)
     assert south_cut["leased in the cut region at the end"] == 0
     assert south_cut["leased outside at the end"] == south_cut["routers outside"]
@@ -83,19 +83,19 @@
     assert north_cut["leased outside at the end"] == 0 and north_cut["in force outside after"] is None
 
 
-def test_a_hollow_request_is_answered_whole():
+def test_a_modelled_request_gets_a_complete_answer():
     figures = parts.requests(24, events=3)
     assert figures["answered"] and figures["request"] > 0
 
 
-def test_the_design_size_is_the_letters():
+def test_the_design_size_matches_its_constants():
     pages = design.list_pages(design.Size())
     assert len(pages) == -(-design.REPLICAS // design.PAGE) and len(set(design.CELLS)) == design.ZONES
     assert len(design.document(design.Size())["routes"]) == design.TENANTS
-    assert fleet_module.DRAW_BEAT == constants.LOAD_REPORT_INTERVAL_S  # drawn anew once per report
+    assert fleet_module.DRAW_BEAT == constants.LOAD_REPORT_INTERVAL_S  # new random loads once per report
 
 
-def test_every_slope_has_four_sizes_or_more():
+def test_every_slope_has_at_least_four_sizes():
     for table in (sweeps.FULL, sweeps.SMALL):
         used = {sweep for name, sweep, path, unit in sweeps.SLOPES if sweep in table}
         assert all(len(table[sweep][2]) >= 4 for sweep in used)
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,12 +1,12 @@
-"""Slopes of each role, measured on this machine, and what they come to at the size to design for.
+"""Measures how the cost of each role grows with size, and extrapolates it to the design size.
 
-python -m tools.capacity                 all sweeps; figures and plots go to docs/capacity
-python -m tools.capacity --only routers  one sweep, shown only
-python -m tools.capacity --show          the kept figures again, nothing measured
+python -m tools.capacity                 all sweeps; writes figures and plots to docs/capacity
+python -m tools.capacity --only routers  one sweep, printed only
+python -m tools.capacity --show          prints the stored figures, measures nothing
 
-Most of it is hollow: the product's own routers and keepers, hundreds in one process, on
-a network in memory. Simulated seconds hold delays, not processor time; processor time
-is this machine's, measured apart. Sockets, threads and idle memory are real processes'.
+Most sweeps use the load model of tools/hollow: the real code of routers and keepers, hundreds of them in one process,
+on an in-memory network. Simulated seconds include delays but no processor time; processor time is measured
+separately, on this machine. Sockets, threads and idle memory are measured on real processes.
 """
 
 import concurrent.futures
@@ -23,8 +23,8 @@
 import tools.hollow.sweeps as sweeps
 
 RESULTS_FOLDER = pathlib.Path(__file__).parent.parent / "docs" / "capacity"
-TRIAL_TIMEOUT_S = 900  # s; a trial that takes longer is ended
-MAX_JOBS = 6  # processes at once
+TRIAL_TIMEOUT_S = 900  # longer trials are stopped
+MAX_JOBS = 6  # concurrent processes
 PLOTTED_FIGURES = {
     "router: gossip processor",
     "keepers: configuration and agreement processor",
@@ -36,11 +36,11 @@
 
 
 class TrialError(Exception):
-    """A trial's process ended without figures."""
+    """The process of a trial ended without figures."""
 
 
 def run_trial(module, name, arguments):
-    """One trial in a process of its own."""
+    """Run one trial in its own process and return its figures."""
     process = subprocess.run(
         [sys.executable, "-m", "tools.hollow.one", module, name, json.dumps(arguments)],
         capture_output=True,
@@ -54,7 +54,7 @@
 
 
 def run_sweeps(table, jobs, output=print):
-    """Map each sweep to its [[words, figures], ...]; the dearest trials begin first."""
+    """Run all trials; return {sweep: [[arguments, figures], ...]}. The largest sizes of a sweep start first."""
     results = {sweep: [None] * len(rows) for sweep, (module, name, rows) in table.items()}
     trials = [
         (sweep, index, module, name, arguments)
@@ -74,7 +74,7 @@
 
 
 def fit_slopes(results):
-    """[(figure, sweep, unit, points, line)] for the sweeps that were measured."""
+    """Return [(figure, sweep, unit, points, line)] for the sweeps that were measured."""
     rows = []
     for name, sweep, path, unit in sweeps.SLOPES:
         if sweep in results:
@@ -106,16 +106,18 @@
 
 
 @cappa.command(
-    name="capacity", help="Measures what each role spends by size. Example: python -m tools.capacity --jobs 4"
+    name="capacity", help="Measures the cost of each role by size. Example: python -m tools.capacity --jobs 4"
 )
 @dataclasses.dataclass
 class Capacity:
     only: typing.Annotated[list[str], cappa.Arg(long=True, help=f"a sweep: {', '.join(sweeps.FULL)}")] = (
         dataclasses.field(default_factory=list)
     )
-    jobs: typing.Annotated[int, cappa.Arg(long=True, help=f"processes at once, at most {MAX_JOBS}")] = 4
-    small: typing.Annotated[bool, cappa.Arg(long=True, help="the sizes of the test; nothing is kept")] = False
-    kept: typing.Annotated[bool, cappa.Arg(long="show", help="shows the kept figures, measures nothing")] = False
+    jobs: typing.Annotated[int, cappa.Arg(long=True, help=f"concurrent processes, at most {MAX_JOBS}")] = 4
+    small: typing.Annotated[bool, cappa.Arg(long=True, help="use the sizes of the test; stores nothing")] = False
+    show_stored: typing.Annotated[bool, cappa.Arg(long="show", help="print the stored figures, measure nothing")] = (
+        False
+    )
 
     def __call__(self):
         table = sweeps.SMALL if self.small else sweeps.FULL
@@ -124,7 +126,7 @@
             raise cappa.Exit(f"--only: no sweep is named {', '.join(unknown)}", code=2)
         if not 1 <= self.jobs <= MAX_JOBS:
             raise cappa.Exit(f"--jobs: {self.jobs} is not 1 to {MAX_JOBS}", code=2)
-        if self.kept:
+        if self.show_stored:
             print_results(json.loads((RESULTS_FOLDER / "figures.json").read_text()))
             return
         try:
