--- a/mothshed/programs/serving.py
+++ b/mothshed/programs/serving.py
@@ -1,7 +1,7 @@
-"""Running a daemon: its environments, its disk, its fronts, signals and the long wait.
+"""Runs a daemon: creates its environments, opens its data folder, serves HTTP and handles signals.
 
-Nothing here reads flags or knows a command line's library: a daemon that is started with settings alone, as on
-the platform, is up sooner and smaller without it.
+This module does not import the command-line library: a daemon that is started from a settings file alone, as on the
+platform, starts faster and uses less memory without it.
 """
 
 import collections.abc
@@ -20,75 +20,75 @@
 import mothshed.transport.peers as peers
 
 
-class ProgramEnd(Exception):
-    """A daemon ends with this exit code; the text, if any, says why."""
+class DaemonExit(Exception):
+    """Ends the daemon with an exit code and an optional reason."""
 
     def __init__(self, code: int, reason: str = "") -> None:
         super().__init__(reason)
         self.code = code
 
 
-def environments(settings):
-    """A maker of environments that share one clock thread and one set of peers."""
+def environment_factory(settings):
+    """Return a function that creates environments with one shared timer thread and one shared set of peers."""
     shared_timers = timers.Timers()
     try:
-        own = peers.Peers(settings["address"], settings.get("listen"))
-    except OSError as e:
-        raise ProgramEnd(3, f"cannot listen on {settings.get('listen') or settings['address']}: {e}") from e
-    return lambda: environment_module.Environment(shared_timers, own, settings["address"])
+        shared_peers = peers.Peers(settings["address"], settings.get("listen"))
+    except OSError as error:
+        raise DaemonExit(3, f"cannot listen on {settings.get('listen') or settings['address']}: {error}") from error
+    return lambda: environment_module.Environment(shared_timers, shared_peers, settings["address"])
 
 
-def serve_ready(address, path, ready):
-    """A front of its own that says on `path` whether this process wants requests."""
+def serve_readiness(address, path, ready):
+    """Serve `path` on an address of its own: status 200 if this process accepts requests, else 503."""
 
-    def app(environ, start):
-        good = environ["PATH_INFO"] == path and ready()
-        return http_server.respond(start, 200 if good else 503, {"ready": good})
+    def app(environ, start_response):
+        is_ready = environ["PATH_INFO"] == path and ready()
+        return http_server.respond(start_response, 200 if is_ready else 503, {"ready": is_ready})
 
     server = http_server.Server(address, app, constants.READINESS_SERVER_THREADS)
     threading.Thread(target=server.safe_start, daemon=True).start()
 
 
 def open_disk(folder: str, sleep: collections.abc.Callable[[float], None] = time.sleep) -> disk_module.Disk:
-    """The data folder, once it takes writes; raises DiskError if there is no such folder to be had.
+    """Return the data folder once writes to it succeed; raises DiskError if it can't be created.
 
-    sleep: waits so many seconds between two tries.
+    sleep: waits for a number of seconds between two attempts.
     """
     disk = disk_module.Disk(folder)
     while True:
         try:
             disk.put("probe", b".")
             return disk
-        except disk_module.DiskError as fault:
-            log_buffer.note("disk_refuses", reason=str(fault))
+        except disk_module.DiskError as error:
+            log_buffer.note("disk_refuses", reason=str(error))
             sleep(constants.DISK_RETRY_INTERVAL_S)
 
 
-def serve(server, stop, reread=lambda: None):
-    """Serves until SIGTERM or SIGINT, then stop(); a second signal ends at once. SIGHUP: reread()."""
-    asked = threading.Event()
+def serve(server, stop, reload_settings=lambda: None):
+    """Serve until SIGTERM or SIGINT, then call stop(); a second signal exits at once. SIGHUP: reload_settings()."""
+    stop_requested = threading.Event()
 
-    def on_signal(number, frame):
-        if asked.is_set():
+    def on_stop_signal(number, frame):
+        if stop_requested.is_set():
             sys.exit(1)
-        asked.set()
+        stop_requested.set()
 
-    def on_hup(number, frame):
+    def on_reload_signal(number, frame):
         try:
-            reread()
-        except settings_module.SettingsError as e:  # the old settings stand
-            log_buffer.note("settings_unreadable", reason=str(e))
+            reload_settings()
+        except settings_module.SettingsError as error:  # the previous settings stay in force
+            log_buffer.note("settings_unreadable", reason=str(error))
 
-    signal.signal(signal.SIGHUP, on_hup)
-    signal.signal(signal.SIGTERM, on_signal)
-    signal.signal(signal.SIGINT, on_signal)
+    signal.signal(signal.SIGHUP, on_reload_signal)
+    signal.signal(signal.SIGTERM, on_stop_signal)
+    signal.signal(signal.SIGINT, on_stop_signal)
     try:
         server.prepare()
-    except OSError as e:
-        raise ProgramEnd(3, f"cannot listen on {server.bind_addr}: {e}") from e
+    except OSError as error:
+        raise DaemonExit(3, f"cannot listen on {server.bind_addr}: {error}") from error
     threading.Thread(target=server.serve, daemon=True).start()
-    asked.wait()
-    clean = stop()
+    stop_requested.wait()
+    completed = stop()
     server.stop()
     sys.stdout.flush()
-    raise ProgramEnd(0 if clean else 1)
+    raise DaemonExit(0 if completed else 1)
--- a/tests/soak_system.py
+++ b/tests/soak_system.py
@@ -110,11 +110,13 @@
         ]
         document = {"edition": 1, "itineraries": routes, "depots": [platform_site.depot(n, False) for n in SERVICES]}
         data, headers = json.dumps(document).encode(), [("Host", "k"), ("If-Match", "0")]
-        platform_site.until(
+        platform_site.wait_until(
             lambda: self.request_status(self.control_address, "PUT", "/configuration", data, headers) == 200, 20.0
         )
         own = [("Host", "one.example"), ("Try-Id", "first")]
-        platform_site.until(lambda: self.request_status(self.front_address, "POST", "/p/first", b"", own) == 200, 20.0)
+        platform_site.wait_until(
+            lambda: self.request_status(self.front_address, "POST", "/p/first", b"", own) == 200, 20.0
+        )
 
     def request_status(self, address, method, target, body, headers):
         """Return the status of one request, 0 after a failure."""
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -149,7 +149,7 @@
     gated.go.set()
     with gated.connect() as conn, gated.connect() as idle_connection:
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.has_active_exchange)
+        platform_site.wait_until(gated.server.has_active_exchange)
         gated.server.idle_limit = idle.IdleLimit(0.0)
         assert idle_connection.recv(1) == b""
         conn.sendall(REQUEST[9:])
@@ -161,7 +161,7 @@
     with gated.connect() as conn:
         assert not gated.server.has_active_exchange()
         conn.sendall(REQUEST[:9])
-        platform_site.until(gated.server.has_active_exchange)
+        platform_site.wait_until(gated.server.has_active_exchange)
         conn.sendall(REQUEST[9:])
         conn.recv(1)
-        platform_site.until(lambda: not gated.server.has_active_exchange())
+        platform_site.wait_until(lambda: not gated.server.has_active_exchange())
