--- a/tools/runbook_verbs.py
+++ b/tools/runbook_verbs.py
@@ -8,10 +8,9 @@
 
 import re
 
-import mothshed.programs.operator_client as operator_client
-
 import mothshed.configuration.document as configuration
 import mothshed.programs.document_file as document_file
+import mothshed.programs.operator_client as operator_client
 
 CHECKS, ACTIONS = {}, {}
 
