--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -12,7 +12,7 @@
 @pytest.mark.parametrize(
     "arguments, message",
     [
-        (["tools.simulate", "--day", "no-such-day"], "no scenario is named 'no-such-day'"),
+        (["tools.simulate", "--day", "no-such-day"], "no day is named 'no-such-day'"),
         (["tools.simulate", "--day", "calm", "--seeds", "one"], "'one' is not first-last"),
         (["tools.measure", "pairing", "--traffic", "/no/such/file"], "/no/such/file"),
         (["mothshed.programs.operate", "fleet", "--faults", "3:kill_router,x:config,4:explode"], "x:config, 4:explode"),
