--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -8,11 +8,11 @@
 import mothshed.constants as constants
 import mothshed.transport.constants as transport_constants
 import tools.capacity as capacity
-import tools.hollow.design as design
-import tools.hollow.fleet as fleet_module
-import tools.hollow.parts as parts
-import tools.hollow.sweeps as sweeps
-import tools.hollow.trials as trials
+import tools.load_model.design as design
+import tools.load_model.fleet as fleet_module
+import tools.load_model.parts as parts
+import tools.load_model.sweeps as sweeps
+import tools.load_model.trials as trials
 
 
 def small_size(routers=16, replicas=24, requests=0.0):
@@ -90,9 +90,9 @@
 
 def test_the_design_size_matches_its_constants():
     pages = design.list_pages(design.Size())
-    assert len(pages) == -(-design.REPLICAS // design.PAGE) and len(set(design.CELLS)) == design.ZONES
+    assert len(pages) == -(-design.REPLICAS // design.PAGE_ROWS) and len(set(design.ZONE_NAMES)) == design.ZONES
     assert len(design.document(design.Size())["routes"]) == design.TENANTS
-    assert fleet_module.DRAW_BEAT == constants.LOAD_REPORT_INTERVAL_S  # new random loads once per report
+    assert fleet_module.REDRAW_INTERVAL_S == constants.LOAD_REPORT_INTERVAL_S  # new random loads once per report
 
 
 def test_every_slope_has_at_least_four_sizes():
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -4,8 +4,8 @@
 python -m tools.capacity --only routers  one sweep, printed only
 python -m tools.capacity --show          prints the stored figures, measures nothing
 
-Most sweeps use the load model of tools/hollow: the real code of routers and keepers, hundreds of them in one process,
-on an in-memory network. Simulated seconds include delays but no processor time; processor time is measured
+Most sweeps use tools/load_model: the real code of routers and keepers, hundreds of them in one process, on an
+in-memory network. Simulated seconds include delays but no processor time; processor time is measured
 separately, on this machine. Sockets, threads and idle memory are measured on real processes.
 """
 
@@ -19,8 +19,8 @@
 
 import cappa
 
-import tools.hollow.fits as fits
-import tools.hollow.sweeps as sweeps
+import tools.load_model.fits as fits
+import tools.load_model.sweeps as sweeps
 
 RESULTS_FOLDER = pathlib.Path(__file__).parent.parent / "docs" / "capacity"
 TRIAL_TIMEOUT_S = 900  # longer trials are stopped
@@ -42,7 +42,7 @@
 def run_trial(module, name, arguments):
     """Run one trial in its own process and return its figures."""
     process = subprocess.run(
-        [sys.executable, "-m", "tools.hollow.one", module, name, json.dumps(arguments)],
+        [sys.executable, "-m", "tools.load_model.trial_process", module, name, json.dumps(arguments)],
         capture_output=True,
         text=True,
         timeout=TRIAL_TIMEOUT_S,
@@ -88,7 +88,7 @@
         measured = "  ".join(f"{size:g}: {figure:.4g}" for size, figure in points)
         design_size = sweeps.DESIGN[sweep]
         output(
-            f"{name} [{unit}] by {sweep}: at {design_size:g} {fits.at(line, design_size):.4g}, "
+            f"{name} [{unit}] by {sweep}: at {design_size:g} {fits.value_at(line, design_size):.4g}, "
             f"slope {line['slope']:.4g}, constant {line['constant']:.4g}, "
             f"error {100 * line['error']:.1f} %, worst {100 * line['worst']:.1f} %   ({measured})"
         )
--- a/tools/hollow/books.py
+++ b/tools/load_model/accounts.py
@@ -11,24 +11,28 @@
 import time
 
 import mothshed.transport.records as records
-import tools.hollow.design as design
+import tools.load_model.design as design
 import tools.simulator.loop as loop_module
 import tools.simulator.network as network
 
 
-class Books:
+class Accounts:
     def __init__(self):
         self.clear()
 
     def clear(self):
-        self.spent = collections.Counter()  # (role, part of the code) -> s of processor time
-        self.sent = collections.Counter()  # (role of the sender, kind) -> records
-        self.bytes = collections.Counter()  # the same -> bytes
-        self.got = collections.Counter()  # (role of the receiver, kind) -> bytes
-        self.fell = collections.Counter()  # kind -> records too long to send
+        self.processor_s = collections.Counter()  # (role, part of the code) -> s of processor time
+        self.sent_records = collections.Counter()  # (role of the sender, kind) -> records
+        self.sent_bytes = collections.Counter()  # the same -> bytes
+        self.received_bytes = collections.Counter()  # (role of the receiver, kind) -> bytes
+        self.too_long = collections.Counter()  # kind -> records too long to send
 
     def total(self, table, role, kinds=None):
-        return sum(n for (who, kind), n in table.items() if who == role and (kinds is None or kind in kinds))
+        return sum(
+            count
+            for (owner_role, kind), count in table.items()
+            if owner_role == role and (kinds is None or kind in kinds)
+        )
 
 
 PARTS = {
@@ -55,18 +59,18 @@
 
 def label_of(call):
     """The part of the code that an event is."""
-    inner = getattr(call, "call", None) or call
-    inner = getattr(inner, "__self__", inner) if type(inner).__name__ == "builtin_function_or_method" else inner
-    return getattr(call, "label", None) or getattr(inner, "label", None) or getattr(inner, "__qualname__", "task")
+    target = getattr(call, "call", None) or call
+    target = getattr(target, "__self__", target) if type(target).__name__ == "builtin_function_or_method" else target
+    return getattr(call, "label", None) or getattr(target, "label", None) or getattr(target, "__qualname__", "task")
 
 
-class HollowLoop(loop_module.Loop):
+class AccountingLoop(loop_module.Loop):
     """The simulator's loop, each event booked."""
 
-    def __init__(self, seed, books):
+    def __init__(self, seed, accounts):
         super().__init__(seed)
-        self.books = books
-        self.charged = False  # whether a machine is busy for as long as its events took this processor
+        self.accounts = accounts
+        self.charges_processor_time = False  # whether a machine is busy for as long as its events took this processor
 
     def spawn(self, machine, call):
         super().spawn(machine, call)
@@ -78,75 +82,88 @@
             self.time = max(self.time, due)
             if machine and (not machine.alive or machine.epoch != epoch):
                 continue
-            if self.charged and machine and machine.frozen_until > self.time:
+            if self.charges_processor_time and machine and machine.frozen_until > self.time:
                 heapq.heappush(self.heap, (machine.frozen_until, number, machine, epoch, call))
                 continue
-            began = time.process_time()
+            started_at = time.process_time()
             try:
                 call()
-            except Exception as e:
-                self.errors.append((self.time, machine.name if machine else "", e))
+            except Exception as error:
+                self.errors.append((self.time, machine.name if machine else "", error))
             if machine:
-                took = time.process_time() - began
-                self.books.spent[(role_of(machine.name), label_of(call))] += took
-                if self.charged:
-                    machine.frozen_until = self.time + took
+                elapsed_s = time.process_time() - started_at
+                self.accounts.processor_s[(role_of(machine.name), label_of(call))] += elapsed_s
+                if self.charges_processor_time:
+                    machine.frozen_until = self.time + elapsed_s
         self.time = until
 
 
-class Arrival:
+class RecordDelivery:
     """One record on its way."""
 
-    def __init__(self, net, machine, sender, other, goal, data, kind):
-        self.net, self.machine, self.sender, self.other, self.goal, self.data = net, machine, sender, other, goal, data
+    def __init__(self, net, machine, sender, other, destination, data, kind):
+        self.net, self.machine, self.sender, self.other, self.goal, self.data = (
+            net,
+            machine,
+            sender,
+            other,
+            destination,
+            data,
+        )
         self.label = kind
 
     def __call__(self):
         net = self.net
         if net.is_reachable(self.machine, self.other):
             record = records.CODEC.unpack(self.data)
-            net.books.got[(role_of(self.other.name), record.kind)] += len(self.data)
+            net.accounts.received_bytes[(role_of(self.other.name), record.kind)] += len(self.data)
             handlers = net.handlers.get(self.goal, {})
             call = handlers.get((record.kind, record.body.get("part"))) or handlers.get((record.kind, None))
             if call:
                 call(self.sender, record.body)
 
 
-class HollowNetwork(network.Network):
+class AccountingNetwork(network.Network):
     """Records in memory, packed and unpacked as on a wire, counted by kind and role."""
 
-    def __init__(self, loop, books):
+    def __init__(self, loop, accounts):
         super().__init__(loop)
-        self.books = books
+        self.accounts = accounts
         self.places = {}  # machine name -> cell
 
-    def delay(self, one, other):
-        here, there = self.places.get(one.name, ""), self.places.get(other.name, "")
-        way = design.NEAR if design.region(here) == design.region(there) else design.FAR
-        due = max(self.loop.time, one.frozen_until if self.loop.charged else 0.0) + way * (
+    def delay(self, source, other):
+        source_zone, target_zone = self.places.get(source.name, ""), self.places.get(other.name, "")
+        delay_s = (
+            design.IN_REGION_DELAY_S
+            if design.region_of(source_zone) == design.region_of(target_zone)
+            else design.CROSS_REGION_DELAY_S
+        )
+        due = max(self.loop.time, source.frozen_until if self.loop.charges_processor_time else 0.0) + delay_s * (
             1 + 0.2 * self.loop.random.random()
         )
-        due = max(due, self.last_delivery.get((one.name, other.name), 0.0) + 1e-6)
-        self.last_delivery[(one.name, other.name)] = due
+        due = max(due, self.last_delivery.get((source.name, other.name), 0.0) + 1e-6)
+        self.last_delivery[(source.name, other.name)] = due
         return due - self.loop.time
 
-    def send(self, machine, sender, goal, kind, body):
+    def send(self, machine, sender, destination, kind, body):
         try:
             data = records.pack(kind, **body)
         except records.RecordError:
-            self.books.fell[kind] += 1
+            self.accounts.too_long[kind] += 1
             raise
         role = role_of(machine.name)
-        other = self.machines.get(goal)
+        other = self.machines.get(destination)
         if other is None or not machine.alive or not self.is_reachable(machine, other):
             return
         if other is not machine:
-            self.books.sent[(role, kind)] += 1
-            self.books.bytes[(role, kind)] += len(data)
-        self.loop.at(self.delay(machine, other), other, Arrival(self, machine, sender, other, goal, data, kind))
+            self.accounts.sent_records[(role, kind)] += 1
+            self.accounts.sent_bytes[(role, kind)] += len(data)
+        self.loop.at(
+            self.delay(machine, other), other, RecordDelivery(self, machine, sender, other, destination, data, kind)
+        )
 
 
-class HollowWeb:
+class ListClient:
     """The platform's list over HTTP, in memory: real bytes and their parsing, no socket."""
 
     def __init__(self, fleet, machine):
@@ -154,8 +171,8 @@
 
     def poll(self, method, url, body=None, headers=None, read=0.0):
         path = url.split("/", 3)[3]
-        self.fleet.loop.sleep(self.machine, design.NEAR)
+        self.fleet.loop.sleep(self.machine, design.IN_REGION_DELAY_S)
         page = self.fleet.pages[int(path.rsplit("p-", 1)[1]) if "p-" in path else 0]
-        self.fleet.books.sent[(role_of(self.machine.name), "list page")] += 1
-        self.fleet.books.got[(role_of(self.machine.name), "list page")] += len(page)
+        self.fleet.accounts.sent_records[(role_of(self.machine.name), "list page")] += 1
+        self.fleet.accounts.received_bytes[(role_of(self.machine.name), "list page")] += len(page)
         return 200, self.fleet.parse(page)
--- a/tools/hollow/design.py
+++ b/tools/load_model/design.py
@@ -11,15 +11,15 @@
 import mothshed.configuration.document as configuration
 
 REGIONS, ZONES = ("north", "middle", "south"), 8
-CELLS = [f"{REGIONS[at % 3]}-{at // 3 + 1}" for at in range(ZONES)]
+ZONE_NAMES = [f"{REGIONS[at % 3]}-{at // 3 + 1}" for at in range(ZONES)]
 NODES, REPLICAS, MODELS, TENANTS = 400, 770, 21, 240
 REQUESTS_S, TOKENS_S, PROMPT_GB_S = 12000, 3100000, 15000
-READERS_SHARE, CHANGES_DAY, IN_FORCE_S = 0.29, 2600, 19
+PREFILL_RATIO, CHANGES_DAY, IN_FORCE_S = 0.29, 2600, 19
 CORE_SHARE, MEMORY_MB, KB_S = 0.029, 64, 14
-READING_S = 0.2  # guess: s a prompt is being read, its wait included
-WRITING_S = 9.0  # guess: s an answer is being written: 258 tokens at half the 70 ms allowed
-PAGE = 50  # replicas on one page of the platform's list, as the users' sites have it
-NEAR, FAR = 0.0005, 0.03  # guess: s one way within a region and between two
+PREFILL_S = 0.2  # guess: s a prompt is being read, its wait included
+DECODE_S = 9.0  # guess: s an answer is being written: 258 tokens at half the 70 ms allowed
+PAGE_ROWS = 50  # replicas on one page of the platform's list, as the users' sites have it
+IN_REGION_DELAY_S, CROSS_REGION_DELAY_S = 0.0005, 0.03  # guess: s one way within a region and between two
 
 
 @dataclasses.dataclass(frozen=True)
@@ -42,12 +42,12 @@
         )
 
 
-def cell(at):
-    return CELLS[at % len(CELLS)]
+def zone_name(at):
+    return ZONE_NAMES[at % len(ZONE_NAMES)]
 
 
-def region(place):
-    return place.split("-")[0]
+def region_of(zone):
+    return zone.split("-")[0]
 
 
 def model(at):
@@ -56,33 +56,33 @@
 
 def rows(size):
     """The list of replicas: name -> row. Readers are spread over each model's own, so that each has some."""
-    found, by = {}, {}
+    result, rows_by_model = {}, {}
     for at in range(size.replicas):
         name = model(at % size.models)
         row = {
             "url": f"http://10.{64 + at // 250}.{at % 250}.9:8080",
-            "cell": cell(at),
+            "cell": zone_name(at),
             "service": name,
             "labels": {"service": name},
             "leaving": False,
             "role": "decode",
             "slots": 64,
         }
-        found[f"i-{at:08x}"] = row
-        by.setdefault(name, []).append(row)
-    for own in by.values():
-        for row in own[: max(1, round(READERS_SHARE * len(own))) if len(own) > 1 else 0]:
+        result[f"i-{at:08x}"] = row
+        rows_by_model.setdefault(name, []).append(row)
+    for model_rows in rows_by_model.values():
+        for row in model_rows[: max(1, round(PREFILL_RATIO * len(model_rows))) if len(model_rows) > 1 else 0]:
             row["role"] = "prefill"
-    return found
+    return result
 
 
 def list_pages(size):
     """The list as its pages' bytes."""
-    own = sorted(rows(size).items())
-    pages = [dict(own[at : at + PAGE]) for at in range(0, len(own), PAGE)] or [{}]
+    model_rows = sorted(rows(size).items())
+    pages = [dict(model_rows[at : at + PAGE_ROWS]) for at in range(0, len(model_rows), PAGE_ROWS)] or [{}]
     return [
-        json.dumps({"rows": page, "next": n + 1 if n + 1 < len(pages) else None}).encode()
-        for n, page in enumerate(pages)
+        json.dumps({"rows": page, "next": number + 1 if number + 1 < len(pages) else None}).encode()
+        for number, page in enumerate(pages)
     ]
 
 
@@ -111,7 +111,7 @@
         }
         for at in range(size.tenants)
     ]
-    said = {"sequence": sequence, "routes": routes, "pools": pools}
+    sent_document = {"sequence": sequence, "routes": routes, "pools": pools}
     return configuration.with_defaults(
         {
             "model": model(0),
@@ -121,25 +121,25 @@
             "pairings": [{"pool": model(0), "policy": "least_usage"}],
             "routes": routes,
             "limits": {"head_bytes": 16384, "body_bytes": 4194304},
-            "as_sent": said,
+            "as_sent": sent_document,
         }
     )
 
 
-def packed(body):
+def json_bytes(body):
     return len(json.dumps(body, separators=(",", ":")))
 
 
-def running(size, chance, readers, writers):
+def draw_running(size, rng, prefill_names, decode_names):
     """Draw the requests that one router has running at each replica, by its share and the guessed spans."""
-    found = {}
-    for names, span in ((readers, READING_S), (writers, WRITING_S)):
-        count = size.requests * span
-        for _ in range(int(count) + (chance.random() < count % 1)):
-            name = chance.choice(names)
-            found[name] = found.get(name, 0) + 1
-    return found
+    result = {}
+    for names, duration_s in ((prefill_names, PREFILL_S), (decode_names, DECODE_S)):
+        count = size.requests * duration_s
+        for _ in range(int(count) + (rng.random() < count % 1)):
+            name = rng.choice(names)
+            result[name] = result.get(name, 0) + 1
+    return result
 
 
-def seeded(*words):
-    return random.Random("/".join(str(w) for w in words))
+def seeded_random(*seed_parts):
+    return random.Random("/".join(str(part) for part in seed_parts))
--- a/tools/hollow/fleet.py
+++ b/tools/load_model/fleet.py
@@ -11,26 +11,26 @@
 import mothshed.constants as constants
 import mothshed.control_plane.keeper as keeper_module
 import mothshed.data_plane.router as router_module
-import tools.hollow.books as books_module
-import tools.hollow.design as design
-import tools.hollow.speech as speech
+import tools.load_model.accounts as accounts_module
+import tools.load_model.design as design
+import tools.load_model.protocol as protocol
 import tools.simulator.environment as environment_module
 import tools.simulator.loop as loop_module
 
-DRAW_BEAT = 0.2  # s; what is running is drawn anew
+REDRAW_INTERVAL_S = 0.2  # s; what is running is drawn anew
 
 
-class HollowFleet:
+class ModelFleet:
     def __init__(self, seed, size, shared_regions=False):
         """shared_regions: all keepers in the first region, instead of one in each."""
-        self.size, self.books = size, books_module.Books()
-        self.loop = books_module.HollowLoop(seed, self.books)
-        self.net = books_module.HollowNetwork(self.loop, self.books)
+        self.size, self.accounts = size, accounts_module.Accounts()
+        self.loop = accounts_module.AccountingLoop(seed, self.accounts)
+        self.net = accounts_module.AccountingNetwork(self.loop, self.accounts)
         self.pages, self.parse = design.list_pages(size), json.loads
         rows = design.rows(size)
-        self.writers = [n for n, row in rows.items() if row["role"] == "decode"]
-        self.readers = [n for n, row in rows.items() if row["role"] == "prefill"] or self.writers[:1]
-        self.chance = design.seeded(seed, "running")
+        self.writers = [name for name, row in rows.items() if row["role"] == "decode"]
+        self.readers = [name for name, row in rows.items() if row["role"] == "prefill"] or self.writers[:1]
+        self.chance = design.seeded_random(seed, "running")
         self.parts, self.addresses, self.disks, self.applied = {}, {}, {}, 0
         self.drawing = False
         self.seeds = [f"10.1.0.{at + 1}:70" for at in range(3)]
@@ -42,17 +42,17 @@
     def environment(self, machine, address, label=""):
         self.net.machines[address] = machine
         environment = environment_module.SimEnvironment(self.loop, self.net, machine, address, label)
-        environment.web = books_module.HollowWeb(self, machine)
+        environment.web = accounts_module.ListClient(self, machine)
         return environment
 
     def settings(self, name, at, address):
-        self.addresses[name], self.net.places[name] = address, design.cell(at)
+        self.addresses[name], self.net.places[name] = address, design.zone_name(at)
         self.net.handlers[address] = {}
         return {
             "name": name,
             "address": address,
             "http": address.replace(":70", ":80"),
-            "cell": design.cell(at),
+            "cell": design.zone_name(at),
             "seeds": list(self.seeds),
             "first_keepers": list(self.seeds),
             "list_url": "http://10.0.0.2:80",
@@ -67,8 +67,8 @@
             settings,
             lambda: self.environment(machine, address, next(label)),
             self.disks[name],
-            lambda n: f"{self.loop.random.getrandbits(8 * n):x}",
-            speech.Speech(),
+            lambda count: f"{self.loop.random.getrandbits(8 * count):x}",
+            protocol.ModelProtocol(),
         )
         keeper.run()
         self.parts[name] = keeper
@@ -77,7 +77,7 @@
         machine = loop_module.Machine(self.loop, name)
         address = f"10.2.{at // 200}.{at % 200 + 1}:70"
         router = router_module.Router(
-            self.environment(machine, address), self.settings(name, at, address), speech.Speech()
+            self.environment(machine, address), self.settings(name, at, address), protocol.ModelProtocol()
         )
         router.run()
         self.parts[name] = router
@@ -88,7 +88,7 @@
 
     def draw(self, router):
         """Sets what this router has running, as many requests as the size says."""
-        router.replicas.own_requests = design.running(self.size, self.chance, self.readers, self.writers)
+        router.replicas.own_requests = design.draw_running(self.size, self.chance, self.readers, self.writers)
         for name in list(router.placement.backlog):
             router.placement.backlog[name] = [0] * constants.PREFILL_RANK_COUNT
         for name in self.readers:
@@ -97,19 +97,19 @@
                     4000 * router.replicas.own_requests[name],
                     *[0] * (constants.PREFILL_RANK_COUNT - 1),
                 ]
-        self.loop.at(DRAW_BEAT, None, lambda: self.draw(router))
+        self.loop.at(REDRAW_INTERVAL_S, None, lambda: self.draw(router))
 
     def routers(self):
-        return [p for n, p in self.parts.items() if n.startswith("route")]
+        return [process for name, process in self.parts.items() if name.startswith("route")]
 
     def keepers(self):
-        return [p for n, p in self.parts.items() if n.startswith("keep")]
+        return [process for name, process in self.parts.items() if name.startswith("keep")]
 
     def leader(self, part=0):
-        return next((k for k in self.keepers() if k.members[part].is_leader), None)
+        return next((keeper for keeper in self.keepers() if keeper.members[part].is_leader), None)
 
-    def run(self, span):
-        self.loop.run(self.loop.time + span)
+    def run(self, duration_s):
+        self.loop.run(self.loop.time + duration_s)
 
     def apply(self, done=lambda result: None):
         """A new document, put to the leader of the configuration."""
@@ -128,27 +128,31 @@
 
     def in_force(self, sequence):
         """How many routers may send under this sequence or a later one now."""
-        return sum((r.lease.sequence() or 0) >= sequence for r in self.routers())
+        return sum((router.lease.sequence() or 0) >= sequence for router in self.routers())
 
-    def ready(self, most=30.0):
+    def ready(self, timeout_s=30.0):
         """Until every router serves under the first document and knows the list."""
-        until, asked = self.loop.time + most, False
-        while self.loop.time < until:
+        deadline, proposed = self.loop.time + timeout_s, False
+        while self.loop.time < deadline:
             self.run(0.25)
-            if self.leader() and not asked and self.leader().members[0].ready:
+            if self.leader() and not proposed and self.leader().members[0].ready:
                 self.apply()
-                asked = True
-            if asked and self.in_force(1) == len(self.routers()) and all(r.ready() for r in self.routers()):
+                proposed = True
+            if (
+                proposed
+                and self.in_force(1) == len(self.routers())
+                and all(router.ready() for router in self.routers())
+            ):
                 self.run(2.0)  # views settle, leaders of parts are found
                 return self
         raise RuntimeError("the hollow fleet never became ready")
 
-    def measure(self, span):
+    def measure(self, duration_s):
         """What so many simulated seconds cost; the books hold only these."""
         if self.size.requests and not self.drawing:
             self.drawing = True
             self.begin_requests()
             self.run(0.6)  # the first reports are in
-        self.books.clear()
-        self.run(span)
-        return self.books
+        self.accounts.clear()
+        self.run(duration_s)
+        return self.accounts
--- a/tools/hollow/parts.py
+++ b/tools/load_model/parts.py
@@ -13,30 +13,30 @@
 import mothshed.storage.disk_log as disk_log
 import mothshed.transport.constants as transport_constants
 import mothshed.transport.records as records
-import tools.hollow.design as design
-import tools.hollow.fleet as fleet_module
+import tools.load_model.design as design
+import tools.load_model.fleet as fleet_module
 import tools.simulator.environment as environment_module
 
 
-def spent(call, least=0.3):
+def mean_processor_s(call, min_total_s=0.3):
     """Processor seconds of one call, the mean over as many as take `least`."""
-    began, count = time.process_time(), 0
-    while time.process_time() - began < least:
+    started_at, count = time.process_time(), 0
+    while time.process_time() - started_at < min_total_s:
         call()
         count += 1
-    return (time.process_time() - began) / count
+    return (time.process_time() - started_at) / count
 
 
-def held(make):
+def measure_memory(build):
     """(what make() returned, bytes of memory that Python holds for it)."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    found = make()
+    result = build()
     gc.collect()
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return found, after - before
+    return result, after - before
 
 
 class OfflineEnvironment:
@@ -53,45 +53,45 @@
     def subscribe(self, kind, call, part=None):
         pass
 
-    def send(self, goal, kind, **body):
+    def send(self, destination, kind, **body):
         self.records += 1
         self.bytes += len(records.pack(kind, **body))
 
 
-class LoneMember:
+class StubMember:
     is_leader, part = True, 1
 
     def __init__(self):
         self.environment = OfflineEnvironment()
 
 
-def usage_reports(routers, size=None):
+def load_reports(routers, size=None):
     """What one usage report costs the leader of a service part when so many routers report."""
     size = size or design.Size(requests=design.REQUESTS_S / design.NODES)
-    member = LoneMember()
-    duty = load_leader_task.LoadLeaderTask(member)
-    chance = design.seeded("usage", routers)
+    member = StubMember()
+    load_task = load_leader_task.LoadLeaderTask(member)
+    rng = design.seeded_random("usage", routers)
     names = [n for n, row in design.rows(size).items() if row["role"] == "decode"]
     names = names[:: constants.PART_COUNT - 1]  # one part's share of the replicas
-    few = design.Size(requests=size.requests / (constants.PART_COUNT - 1))
+    part_size = design.Size(requests=size.requests / (constants.PART_COUNT - 1))
     bodies = {
         f"10.2.0.{at}:70": {
             "rows": {
                 n: replica_load.ReplicaLoad(count).to_wire()
-                for n, count in design.running(few, chance, names, names).items()
+                for n, count in design.draw_running(part_size, rng, names, names).items()
             },
             "mark": 1,
         }
         for at in range(routers)
     }
     for sender, body in bodies.items():
-        duty.reports.record(sender, replica_load.from_wire(body["rows"]))
+        load_task.reports.record(sender, replica_load.from_wire(body["rows"]))
     sender, body = next(iter(bodies.items()))
-    cost = spent(lambda: duty.on_usage(sender, body))
-    up = len(records.pack("usage", part=1, mark=1, rows=body["rows"]))
+    report_s = mean_processor_s(lambda: load_task.on_usage(sender, body))
+    report_bytes = len(records.pack("usage", part=1, mark=1, rows=body["rows"]))
     return {
-        "processor a report": cost,
-        "report bytes": up,
+        "processor a report": report_s,
+        "report bytes": report_bytes,
         "sums bytes": member.environment.bytes / member.environment.records,
         "rows a report": sum(len(b["rows"]) for b in bodies.values()) / routers,
     }
@@ -102,7 +102,7 @@
     size = design.Size(tenants=tenants)
     doc = design.document(size)
     text = json.dumps(doc, separators=(",", ":"))
-    own, memory = held(lambda: json.loads(text))
+    parsed, memory = measure_memory(lambda: json.loads(text))
     row = {"doc": doc, "by": "operator", "id": "0" * 32}
     news = dict(part=0, number=1, active=1, docs=[[2, doc]])
     data = records.pack("news", **news)
@@ -110,23 +110,25 @@
     for at in range(2 * constants.MAX_HISTORY_DOCUMENTS):
         machine.apply(0, {"op": "stage", "base": at, **row, "id": f"order {at}"})
         machine.apply(0, {"op": "activate", "sequence": at + 1})
-    state = design.packed(machine.dump())
-    entries = (
-        constants.MAX_APPEND_ENTRIES // 2 * design.packed([{"i": 1, "t": 1, "c": {"op": "stage", **row, "base": 1}}])
+    snapshot_bytes = design.json_bytes(machine.dump())
+    append_bytes = (
+        constants.MAX_APPEND_ENTRIES
+        // 2
+        * design.json_bytes([{"i": 1, "t": 1, "c": {"op": "stage", **row, "base": 1}}])
     )
     return {
         "document bytes": len(text),
         "news bytes": len(data),
         "memory": memory,
-        "pack": spent(lambda: records.pack("news", **news)),
-        "unpack": spent(lambda: records.CODEC.unpack(data)),
-        "snapshot bytes": state,
-        "largest append bytes": entries,
+        "pack": mean_processor_s(lambda: records.pack("news", **news)),
+        "unpack": mean_processor_s(lambda: records.CODEC.unpack(data)),
+        "snapshot bytes": snapshot_bytes,
+        "largest append bytes": append_bytes,
         "record most": transport_constants.MAX_RECORD_BYTES,
     }
 
 
-def log_of(changes):
+def keeper_log(changes):
     """What a keeper's log of so many changes holds in memory and on disk."""
 
     class Machine:
@@ -145,11 +147,11 @@
             log.put([{"i": 2 * at + 1, "t": 1, "c": {"op": "stage", "base": at, "doc": doc, "by": "", "id": str(at)}}])
             log.put([{"i": 2 * at + 2, "t": 1, "c": {"op": "activate", "sequence": at + 1}}])
 
-    memory = held(fill)[1] - disk.size()  # the disk is in memory here
+    memory = measure_memory(fill)[1] - disk.size()  # the disk is in memory here
     return {"memory": memory, "disk bytes": disk.size()}
 
 
-class HollowReply:
+class ModelReply:
     """A replica's whole answer: a head, and events one by one."""
 
     status, reason, headers = 200, "OK", {"Content-Type": "text/event-stream"}
@@ -168,7 +170,7 @@
         pass
 
 
-class HollowSpeech:
+class AnsweringProtocol:
     """Answers every send at once; the formats of a platform are not counted here."""
 
     def __init__(self, events, inner):
@@ -183,15 +185,15 @@
 
     def decode(self, environment, ask, place, handle, left, read, ready, after, urgency, recent_only):
         ready()
-        return HollowReply(self.events)
+        return ModelReply(self.events)
 
 
 def requests(replicas, events=0):
     """Processor time of one delivered request: from the front's call to the end of its body, no socket."""
     size = design.Size(routers=2, replicas=replicas)
-    fleet = fleet_module.HollowFleet("requests", size).ready()
+    fleet = fleet_module.ModelFleet("requests", size).ready()
     router = fleet.routers()[0]
-    router.replica_protocol = HollowSpeech(events, router.replica_protocol)
+    router.replica_protocol = AnsweringProtocol(events, router.replica_protocol)
     app = route_front.RouteFront(router)
     environ = {
         "REQUEST_METHOD": "POST",
@@ -200,14 +202,14 @@
     }
     count = [0, 0]
 
-    def one():
-        said = app(environ, lambda status, headers: count.__setitem__(0, count[0] + status.startswith("200")))
-        for _event in said:
+    def run_request():
+        response = app(environ, lambda status, headers: count.__setitem__(0, count[0] + status.startswith("200")))
+        for _event in response:
             count[1] += 1
-        if hasattr(said, "close"):
-            said.close()
+        if hasattr(response, "close"):
+            response.close()
 
-    whole = spent(one)
+    request_s = mean_processor_s(run_request)
     if count[1] < count[0] * max(1, events):
         raise RuntimeError("a hollow request was not answered whole")
     ask = route_front.RoutedRequest(
@@ -231,4 +233,4 @@
         router.placement.finish_prefill(pair)
         router.replicas.request_ended(pair.decode_replica.name)
 
-    return {"request": whole, "placing": spent(place), "answered": count[0] > 0}
+    return {"request": request_s, "placing": mean_processor_s(place), "answered": count[0] > 0}
--- a/tools/hollow/speech.py
+++ b/tools/load_model/protocol.py
@@ -7,20 +7,20 @@
 import mothshed.http.http_client as http_client
 
 
-class Speech:
+class ModelProtocol:
     reports_roles, announces_token = True, False
     tenant_field, system_fields = "x-tenant-name", frozenset()
 
     def rows(self, environment, url):
         """The list, all its pages: name -> row."""
-        found, page = {}, 0
+        rows, page = {}, 0
         while page is not None:
-            status, said = environment.web.poll("GET", f"{url}/list/p-{page}")
+            status, body = environment.web.poll("GET", f"{url}/list/p-{page}")
             if status != 200:
                 raise http_client.ExchangeError(f"list status {status}", True)
-            found.update(said["rows"])
-            page = said["next"]
-        return found
+            rows.update(body["rows"])
+            page = body["next"]
+        return rows
 
     def read(self, headers):
         return {
@@ -34,5 +34,5 @@
     def release_handle(self, environment, handle):
         return True
 
-    def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
+    def order_role(self, environment, endpoint, role, fencing_token, leader_id, sequence, ready=lambda: True):
         return False
--- a/tools/hollow/real.py
+++ b/tools/load_model/real.py
@@ -14,36 +14,36 @@
 import mothshed.transport.records as records
 
 
-def condition_of(pid="self"):
+def memory_and_threads(pid="self"):
     """Resident KiB and threads of a process."""
-    with open(f"/proc/{pid}/status") as f:
-        rows = dict(line.split(":", 1) for line in f)
+    with open(f"/proc/{pid}/status") as status_file:
+        rows = dict(row.split(":", 1) for row in status_file)
     return int(rows["VmRSS"].split()[0]), int(rows["Threads"])
 
 
 def free_port():
-    with socket.create_server(("127.0.0.1", 0)) as s:
-        return s.getsockname()[1]
+    with socket.create_server(("127.0.0.1", 0)) as listener:
+        return listener.getsockname()[1]
 
 
 def idle_router(replicas, tenants):
     """Resident KiB of one router process, step by step, nothing served yet."""
-    bare = condition_of()
+    bare = memory_and_threads()
     import mothshed.constants as constants
     import mothshed.data_plane.router as router_module
     import mothshed.programs.daemon_flags  # noqa: F401 (weighed: what the program itself imports beside)
-    import tools.hollow.design as design  # after the bare figure
-    import tools.hollow.speech as speech_module
+    import tools.load_model.design as design  # after the bare figure
+    import tools.load_model.protocol as protocol_module
 
-    loaded = condition_of()
+    loaded = memory_and_threads()
     address, http = f"127.0.0.1:{free_port()}", f"127.0.0.1:{free_port()}"
-    own = peers.Peers(address)
-    environment = environment_module.Environment(timers.Timers(), own, address)
-    speech = speech_module.Speech()
+    own_peers = peers.Peers(address)
+    environment = environment_module.Environment(timers.Timers(), own_peers, address)
+    protocol = protocol_module.ModelProtocol()
     router = router_module.Router(
-        environment, {"name": "r", "cell": "a", "seeds": [], "list_url": "http://127.0.0.1:1", "http": http}, speech
+        environment, {"name": "r", "cell": "a", "seeds": [], "list_url": "http://127.0.0.1:1", "http": http}, protocol
     )
-    built = condition_of()
+    built = memory_and_threads()
     server = router.front()
     server.prepare()
     threading.Thread(target=server.serve, daemon=True).start()
@@ -52,15 +52,15 @@
     )
     ready.prepare()
     time.sleep(0.5)
-    served = condition_of()
+    served = memory_and_threads()
     size = design.Size(replicas=replicas, tenants=tenants)
     rows = design.rows(size)
     router.replicas.update_list(rows)
-    listed = condition_of()
+    listed = memory_and_threads()
     text = json.dumps(design.document(size))
     for sequence in (1, 2):  # the one in force and one that is staged
         router.lease.docs[sequence] = json.loads(text)
-    held = condition_of()
+    held = memory_and_threads()
     return {
         "bare": bare[0],
         "imports": loaded[0],
@@ -75,37 +75,44 @@
 def connections(count):
     """Resident KiB and threads that so many peers cost one process: a real connection to each."""
     address = f"127.0.0.1:{free_port()}"
-    own = peers.Peers(address)
-    heard = []
-    own.subscribe("paid", None, lambda who, body: heard.append(who))
-    before = condition_of()
-    lines = []
+    own_peers = peers.Peers(address)
+    received = []
+    own_peers.subscribe("paid", None, lambda sender, body: received.append(sender))
+    before = memory_and_threads()
+    open_connections = []
     for at in range(count):
-        line = socket.create_connection(link.parse_address(address))
-        line.sendall(
+        connection = socket.create_connection(link.parse_address(address))
+        connection.sendall(
             records.pack("hello", address=f"10.9.{at // 250}.{at % 250}:1")
             + records.pack("paid", request="r" * 40, replica="i-1")
         )
-        lines.append(line)
-    until = time.monotonic() + 20
-    while len(heard) < count and time.monotonic() < until:
+        open_connections.append(connection)
+    deadline = time.monotonic() + 20
+    while len(received) < count and time.monotonic() < deadline:
         time.sleep(0.02)
-    for who in list(own.loop.table.by_peer):
-        own.send(who, "paid", request="r" * 40, replica="i-1")
+    for sender in list(own_peers.loop.table.by_peer):
+        own_peers.send(sender, "paid", request="r" * 40, replica="i-1")
     time.sleep(0.3)
-    after = condition_of()
+    after = memory_and_threads()
     files = len(os.listdir("/proc/self/fd")) - count  # this trial's own ends are not the process's
-    return {"resident KiB": after[0] - before[0], "threads": after[1] - before[1], "files": files, "heard": len(heard)}
+    return {
+        "resident KiB": after[0] - before[0],
+        "threads": after[1] - before[1],
+        "files": files,
+        "heard": len(received),
+    }
 
 
-def records_between(body_bytes, most=1.5):
+def records_between(body_bytes, duration_s=1.5):
     """Processor time of one record from one real process part to another and back, both ends in it."""
     ends = [f"127.0.0.1:{free_port()}" for _ in range(2)]
     shared_timers, event = timers.Timers(), threading.Event()
     environments = [environment_module.Environment(shared_timers, peers.Peers(at), at) for at in ends]
     text = "r" * body_bytes
-    environments[1].subscribe("paid", lambda who, body: environments[1].send(who, "paid", request=text, replica="i"))
-    environments[0].subscribe("paid", lambda who, body: event.set())
+    environments[1].subscribe(
+        "paid", lambda sender, body: environments[1].send(sender, "paid", request=text, replica="i")
+    )
+    environments[0].subscribe("paid", lambda sender, body: event.set())
 
     def once():
         event.clear()
@@ -115,13 +122,13 @@
 
     for _ in range(20):
         once()
-    began, count, until = time.process_time(), 0, time.monotonic() + most
-    while time.monotonic() < until:
+    started_at, count, deadline = time.process_time(), 0, time.monotonic() + duration_s
+    while time.monotonic() < deadline:
         once()
         count += 1
     # sending and receiving are half each of one way; a way and back is two of each
     return {
-        "processor a record": (time.process_time() - began) / count / 2,
+        "processor a record": (time.process_time() - started_at) / count / 2,
         "records": 2 * count,
         "record bytes": len(records.pack("paid", request=text, replica="i")),
     }
--- a/tools/hollow/sweeps.py
+++ b/tools/load_model/sweeps.py
@@ -1,17 +1,17 @@
 """Which trials are run, along what and at which sizes, and which slopes are read from them."""
 
-LOAD = 30.0  # requests a second and router: the design's 12,000 over 400
+ROUTER_LOAD_RPS = 30.0  # requests a second and router: the design's 12,000 over 400
 FULL = {
     "routers": ("trials", "steady", [{"size": {"routers": n}} for n in (50, 100, 200, 400)]),
     "replicas": (
         "trials",
         "steady",
-        [{"size": {"routers": 12, "replicas": n, "requests": LOAD}} for n in (100, 200, 400, 770)],
+        [{"size": {"routers": 12, "replicas": n, "requests": ROUTER_LOAD_RPS}} for n in (100, 200, 400, 770)],
     ),
     "requests": ("trials", "steady", [{"size": {"routers": 12, "requests": n}} for n in (5.0, 10.0, 20.0, 30.0)]),
     "tenants": ("parts", "documents", [{"tenants": n} for n in (30, 60, 120, 240)]),
-    "reports": ("parts", "usage_reports", [{"routers": n} for n in (50, 100, 200, 400)]),
-    "changes": ("parts", "log_of", [{"changes": n} for n in (8, 16, 32, 64)]),
+    "reports": ("parts", "load_reports", [{"routers": n} for n in (50, 100, 200, 400)]),
+    "changes": ("parts", "keeper_log", [{"changes": n} for n in (8, 16, 32, 64)]),
     "placing": ("parts", "requests", [{"replicas": n} for n in (100, 200, 400, 770)]),
     "events": ("parts", "requests", [{"replicas": 100, "events": n} for n in (1, 64, 128, 256)]),
     "connections": ("real", "connections", [{"count": n} for n in (50, 100, 200, 400)]),
@@ -38,7 +38,7 @@
         "trials",
         "steady",
         [
-            {"size": {"routers": 4, "replicas": n, "models": 3, "tenants": 6, "requests": LOAD}}
+            {"size": {"routers": 4, "replicas": n, "models": 3, "tenants": 6, "requests": ROUTER_LOAD_RPS}}
             for n in (12, 24, 36, 48)
         ],
     ),
@@ -50,7 +50,7 @@
 DESIGN = {
     "routers": 400,
     "replicas": 770,
-    "requests": LOAD,
+    "requests": ROUTER_LOAD_RPS,
     "tenants": 240,
     "reports": 400,
     "changes": 192,
@@ -107,21 +107,21 @@
 ]
 
 
-def along(words):
+def varied_value(arguments):
     """The number that a sweep's trial differs by."""
-    if "size" not in words:
-        return next(n for k, n in words.items() if k != "replicas" or len(words) == 1)
-    size = words["size"]
+    if "size" not in arguments:
+        return next(n for k, n in arguments.items() if k != "replicas" or len(arguments) == 1)
+    size = arguments["size"]
     return size["routers"] if "requests" not in size else size["replicas"] if "replicas" in size else size["requests"]
 
 
-def points(found, sweep, path):
+def points(results, sweep, path):
     rows = []
-    for words, said in found[sweep]:
+    for arguments, figures in results[sweep]:
         if sweep == "events":
-            rows.append((words["events"], said[path[0]]))
+            rows.append((arguments["events"], figures[path[0]]))
             continue
-        for word in path:
-            said = said[word]
-        rows.append((along(words), said))
+        for key in path:
+            figures = figures[key]
+        rows.append((varied_value(arguments), figures))
     return rows
