--- a/mothshed/programs/operate.py
+++ b/mothshed/programs/operate.py
@@ -81,8 +81,8 @@
         try:
             parameters = dict(text.split("=", 1) for text in self.set)
             run = runbook.Run(runbook.load(self.book), parameters, self.keeper, self.router, wait_for_manual_step)
-            run.go(self.dry_run)
-        except runbook.BookFault as error:
+            run.execute(self.dry_run)
+        except runbook.RunbookError as error:
             raise cappa.Exit(str(error), code=2) from error
         except runbook.StepFailed as error:
             raise cappa.Exit(f"stopped: {error}", code=1) from error
--- a/tools/measure.py
+++ b/tools/measure.py
@@ -154,7 +154,7 @@
         fleet = sim.SimFleet(args.seed, "patinetes", routers=routers, replicas=2)
         fleet.ready(timeout_s=60)
         started_at = fleet.loop.time
-        router_parts = [fleet.parts[name] for name in fleet.names("route")]
+        router_parts = [fleet.processes[name] for name in fleet.names("route")]
         seen_counts = collections.Counter(address for router in router_parts for address in router.gossip.view)
         sent_before = fleet.net.count
         fleet.run(10)
--- a/tools/simulate.py
+++ b/tools/simulate.py
@@ -61,7 +61,7 @@
         broken["nothing bounced"] = judge_traffic.nothing_rejected(fleet.rows)
     broken["pool whole"] = final_checks.check_pool(fleet)
     broken["in time"] = service.in_time(
-        fleet.rows, service.floor(name, size), None if recovery is None else start + recovery + RECOVERY_S
+        fleet.rows, service.min_share(name, size), None if recovery is None else start + recovery + RECOVERY_S
     )
     if name == "tenant_rush":
         broken["none starved"] = judge_traffic.none_starved(fleet.rows, fleet.plan["tenants"][0])
@@ -140,7 +140,7 @@
     names = list(scenarios.SCENARIOS) if args.day == "all" else args.day.split(",")
     for name in names:
         if name not in scenarios.SCENARIOS:
-            parser.error(f"--day: no scenario is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
+            parser.error(f"--day: no day is named {name!r}; there are {', '.join(scenarios.SCENARIOS)}")
     seeds = parse_seeds(parser, args)
     failed_total, failed = 0, 0
     for (name, seed, deployment, size), broken in run_jobs(
