--- a/tools/load_model/accounts.py
+++ b/tools/load_model/accounts.py
@@ -1,9 +1,8 @@
-"""What a hollow fleet spends: processor time by role and part, records and bytes by kind.
+"""Accounts of the load model: processor time by role and part, records and bytes by kind.
 
-The loop measures each event by the process's own processor time and books it to the
-role of the machine it ran on and to the part of the code it was: a record of a kind,
-a beat or a task by the name of what it calls. Sockets, threads and mailboxes are not
-in it; `real.py` measures those on real connections.
+The loop measures the processor time of each event and adds it to the role of the machine and to the part of the
+code: the kind for a record, the name of the called function for a timer or a task. Sockets, threads and mailboxes
+are not included; `real.py` measures them on real connections.
 """
 
 import collections
@@ -58,19 +57,19 @@
 
 
 def label_of(call):
-    """The part of the code that an event is."""
+    """Return the part of the code to which an event belongs."""
     target = getattr(call, "call", None) or call
     target = getattr(target, "__self__", target) if type(target).__name__ == "builtin_function_or_method" else target
     return getattr(call, "label", None) or getattr(target, "label", None) or getattr(target, "__qualname__", "task")
 
 
 class AccountingLoop(loop_module.Loop):
-    """The simulator's loop, each event booked."""
+    """The simulator's loop, with accounts of the processor time of each event."""
 
     def __init__(self, seed, accounts):
         super().__init__(seed)
         self.accounts = accounts
-        self.charges_processor_time = False  # whether a machine is busy for as long as its events took this processor
+        self.charges_processor_time = False  # whether a machine is busy for the processor time of its events
 
     def spawn(self, machine, call):
         super().spawn(machine, call)
@@ -99,7 +98,7 @@
 
 
 class RecordDelivery:
-    """One record on its way."""
+    """A record in transit."""
 
     def __init__(self, net, machine, sender, other, destination, data, kind):
         self.net, self.machine, self.sender, self.other, self.goal, self.data = (
@@ -124,12 +123,12 @@
 
 
 class AccountingNetwork(network.Network):
-    """Records in memory, packed and unpacked as on a wire, counted by kind and role."""
+    """An in-memory network that packs and unpacks records as on the wire and counts them by kind and role."""
 
     def __init__(self, loop, accounts):
         super().__init__(loop)
         self.accounts = accounts
-        self.places = {}  # machine name -> cell
+        self.places = {}  # machine name -> zone
 
     def delay(self, source, other):
         source_zone, target_zone = self.places.get(source.name, ""), self.places.get(other.name, "")
@@ -164,7 +163,7 @@
 
 
 class ListClient:
-    """The platform's list over HTTP, in memory: real bytes and their parsing, no socket."""
+    """The platform's replica list without a socket; pages are parsed from their bytes."""
 
     def __init__(self, fleet, machine):
         self.fleet, self.machine = fleet, machine
--- a/tools/load_model/design.py
+++ b/tools/load_model/design.py
@@ -1,7 +1,7 @@
-"""The size that users ask to design for, and the lists and documents of a hollow fleet.
+"""The size to design for, and the replica lists and configuration documents of the load model.
 
-What the users' letter does not say is a guess and named so here: how long a request
-is being read and written, how a route is written down, the way between regions.
+The required sizes do not say how long prefill and decoding take, what a route looks like, and how long
+a record takes between regions: these values are assumptions.
 """
 
 import dataclasses
@@ -16,21 +16,21 @@
 REQUESTS_S, TOKENS_S, PROMPT_GB_S = 12000, 3100000, 15000
 PREFILL_RATIO, CHANGES_DAY, IN_FORCE_S = 0.29, 2600, 19
 CORE_SHARE, MEMORY_MB, KB_S = 0.029, 64, 14
-PREFILL_S = 0.2  # guess: s a prompt is being read, its wait included
-DECODE_S = 9.0  # guess: s an answer is being written: 258 tokens at half the 70 ms allowed
-PAGE_ROWS = 50  # replicas on one page of the platform's list, as the users' sites have it
-IN_REGION_DELAY_S, CROSS_REGION_DELAY_S = 0.0005, 0.03  # guess: s one way within a region and between two
+PREFILL_S = 0.2  # assumed duration of a prefill, including its wait
+DECODE_S = 9.0  # assumed duration of an answer: 258 tokens at half of the allowed 70 ms
+PAGE_ROWS = 50  # replicas on one page of the platform's list
+IN_REGION_DELAY_S, CROSS_REGION_DELAY_S = 0.0005, 0.03  # assumed one-way delay
 
 
 @dataclasses.dataclass(frozen=True)
 class Size:
-    """One size of a hollow fleet."""
+    """Size of a modelled fleet."""
 
     routers: int = NODES
     replicas: int = REPLICAS
     models: int = MODELS
-    tenants: int = TENANTS  # each with a route of its own
-    requests: float = 0.0  # requests a second and router that are running
+    tenants: int = TENANTS  # each has its own route
+    requests: float = 0.0  # requests per second and router
 
     def smaller(self, share):
         return dataclasses.replace(
@@ -55,7 +55,7 @@
 
 
 def rows(size):
-    """The list of replicas: name -> row. Readers are spread over each model's own, so that each has some."""
+    """Return the replica list as {name: row}. Every model with two or more replicas has a prefill replica."""
     result, rows_by_model = {}, {}
     for at in range(size.replicas):
         name = model(at % size.models)
@@ -77,7 +77,7 @@
 
 
 def list_pages(size):
-    """The list as its pages' bytes."""
+    """Return the pages of the replica list as bytes."""
     model_rows = sorted(rows(size).items())
     pages = [dict(model_rows[at : at + PAGE_ROWS]) for at in range(0, len(model_rows), PAGE_ROWS)] or [{}]
     return [
@@ -87,7 +87,7 @@
 
 
 def document(size, sequence=1):
-    """A configuration: a route for each tenant, a pool for each model; with its text beside it, as sent."""
+    """Return a configuration with a route per tenant and a pool per model, and the document as sent."""
     pools = {
         model(at): {
             "selector": {"service": model(at)},
@@ -131,7 +131,7 @@
 
 
 def draw_running(size, rng, prefill_names, decode_names):
-    """Draw the requests that one router has running at each replica, by its share and the guessed spans."""
+    """Draw the running requests of one router per replica, from its request rate and the assumed durations."""
     result = {}
     for names, duration_s in ((prefill_names, PREFILL_S), (decode_names, DECODE_S)):
         count = size.requests * duration_s
--- a/tools/load_model/fits.py
+++ b/tools/load_model/fits.py
@@ -1,20 +1,20 @@
-"""Straight lines through measured points by least squares, and small plots of them."""
+"""Least-squares lines through measured points, and small plots of them."""
 
 
 def line(points):
-    """Slope, constant and errors of the line through [(x, y), ...].
+    """Fit a line to [(x, y), ...]; return its slope, constant and errors.
 
     >>> fitted = line([(1, 3.0), (2, 5.0), (4, 9.0), (8, 17.0)])
     >>> round(fitted["slope"], 6), round(fitted["constant"], 6), round(fitted["error"], 6)
     (2.0, 1.0, 0.0)
     """
-    import numpy  # of requirements-tools.txt, as matplotlib: hollow fleets run without
+    import numpy  # imported here because, like matplotlib, only plots and fits need requirements-tools.txt
 
     x, y = (numpy.array([point[index] for point in points], dtype=float) for index in (0, 1))
     slope, constant = numpy.linalg.lstsq(numpy.stack([x, numpy.ones_like(x)], axis=1), y, rcond=None)[0]
     residuals = y - (slope * x + constant)
     mean_abs = abs(float(numpy.mean(y)))
-    # error: root mean square of what the line misses, as a share of the points' mean
+    # error: root mean square of the residuals relative to the mean of the points
     return {
         "slope": float(slope),
         "constant": float(constant),
@@ -29,7 +29,7 @@
 
 
 def plot(path, name, along, unit, points, fitted):
-    """One small SVG: the points and their line."""
+    """Write a small SVG with the points and their line."""
     import matplotlib
 
     matplotlib.use("svg")
--- a/tools/load_model/fleet.py
+++ b/tools/load_model/fleet.py
@@ -1,9 +1,9 @@
-"""A hollow fleet: whole routers and keepers of the product, hundreds in one process.
+"""The load model: hundreds of real routers and keepers in one process.
 
-Each is put together as the programs do it, with a way of speaking of its own:
-gossip, lease, list, placing, usage, members, duties. Hollow are the sockets, threads
-and requests: what a router has running is drawn anew on every beat and set where the
-product keeps it. Replicas are rows of the list only; no order reaches one.
+They are built as the programs build them, with a replica protocol of the model: gossip, lease, replica list,
+placement, load, members and leader tasks are real. Sockets, threads and requests are modelled: the running requests
+of a router are drawn at random in each interval and stored where the router keeps them. Replicas exist only as rows
+of the list; no order is sent to one.
 """
 
 import json
@@ -17,12 +17,12 @@
 import tools.simulator.environment as environment_module
 import tools.simulator.loop as loop_module
 
-REDRAW_INTERVAL_S = 0.2  # s; what is running is drawn anew
+REDRAW_INTERVAL_S = 0.2  # interval of drawing the running requests
 
 
 class ModelFleet:
     def __init__(self, seed, size, shared_regions=False):
-        """shared_regions: all keepers in the first region, instead of one in each."""
+        """shared_regions: place all keepers in the first region instead of one in each."""
         self.size, self.accounts = size, accounts_module.Accounts()
         self.loop = accounts_module.AccountingLoop(seed, self.accounts)
         self.net = accounts_module.AccountingNetwork(self.loop, self.accounts)
@@ -87,7 +87,7 @@
             self.draw(router)
 
     def draw(self, router):
-        """Sets what this router has running, as many requests as the size says."""
+        """Set the running requests of this router to a random draw for the fleet's size."""
         router.replicas.own_requests = design.draw_running(self.size, self.chance, self.readers, self.writers)
         for name in list(router.placement.backlog):
             router.placement.backlog[name] = [0] * constants.PREFILL_RANK_COUNT
@@ -112,7 +112,7 @@
         self.loop.run(self.loop.time + duration_s)
 
     def apply(self, done=lambda result: None):
-        """A new document, put to the leader of the configuration."""
+        """Propose a new document to the leader of the configuration."""
         self.applied += 1
         machine = self.leader().members[0].machine
         self.leader().members[0].propose(
@@ -127,11 +127,11 @@
         )
 
     def in_force(self, sequence):
-        """How many routers may send under this sequence or a later one now."""
+        """Return how many routers hold a lease for this sequence or a later one."""
         return sum((router.lease.sequence() or 0) >= sequence for router in self.routers())
 
     def ready(self, timeout_s=30.0):
-        """Until every router serves under the first document and knows the list."""
+        """Run until every router serves under the first document and has the replica list."""
         deadline, proposed = self.loop.time + timeout_s, False
         while self.loop.time < deadline:
             self.run(0.25)
@@ -143,16 +143,16 @@
                 and self.in_force(1) == len(self.routers())
                 and all(router.ready() for router in self.routers())
             ):
-                self.run(2.0)  # views settle, leaders of parts are found
+                self.run(2.0)  # gossip views settle and part leaders are found
                 return self
-        raise RuntimeError("the hollow fleet never became ready")
+        raise RuntimeError("the modelled fleet did not become ready")
 
     def measure(self, duration_s):
-        """What so many simulated seconds cost; the books hold only these."""
+        """Return the accounts of the next duration_s simulated seconds only."""
         if self.size.requests and not self.drawing:
             self.drawing = True
             self.begin_requests()
-            self.run(0.6)  # the first reports are in
+            self.run(0.6)  # the first load reports have arrived
         self.accounts.clear()
         self.run(duration_s)
         return self.accounts
--- a/tools/load_model/parts.py
+++ b/tools/load_model/parts.py
@@ -1,4 +1,4 @@
-"""Trials on single parts of the product where a whole fleet would be too dear or would hide them."""
+"""Trials on single components, where a whole fleet would be too slow or would hide their cost."""
 
 import gc
 import json
@@ -19,7 +19,7 @@
 
 
 def mean_processor_s(call, min_total_s=0.3):
-    """Processor seconds of one call, the mean over as many as take `least`."""
+    """Return the mean processor seconds of a call, over at least min_total_s of calls."""
     started_at, count = time.process_time(), 0
     while time.process_time() - started_at < min_total_s:
         call()
@@ -28,7 +28,7 @@
 
 
 def measure_memory(build):
-    """(what make() returned, bytes of memory that Python holds for it)."""
+    """Return (the result of build(), the bytes of memory that Python holds for it)."""
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
@@ -40,7 +40,7 @@
 
 
 class OfflineEnvironment:
-    """An environment without network: the clock stands still, what is told is packed and counted."""
+    """An environment without a network: time is constant, sent records are packed and counted."""
 
     address = "10.1.0.1:70"
 
@@ -66,13 +66,13 @@
 
 
 def load_reports(routers, size=None):
-    """What one usage report costs the leader of a service part when so many routers report."""
+    """Measure the cost of one load report for the leader of a service part, by the number of routers."""
     size = size or design.Size(requests=design.REQUESTS_S / design.NODES)
     member = StubMember()
     load_task = load_leader_task.LoadLeaderTask(member)
     rng = design.seeded_random("usage", routers)
     names = [n for n, row in design.rows(size).items() if row["role"] == "decode"]
-    names = names[:: constants.PART_COUNT - 1]  # one part's share of the replicas
+    names = names[:: constants.PART_COUNT - 1]  # the replicas of one part
     part_size = design.Size(requests=size.requests / (constants.PART_COUNT - 1))
     bodies = {
         f"10.2.0.{at}:70": {
@@ -98,7 +98,7 @@
 
 
 def documents(tenants):
-    """What one configuration document weighs, on the way, in memory and in a keeper's state."""
+    """Measure the size of a configuration document on the wire, in memory and in the state of a keeper."""
     size = design.Size(tenants=tenants)
     doc = design.document(size)
     text = json.dumps(doc, separators=(",", ":"))
@@ -129,7 +129,7 @@
 
 
 def keeper_log(changes):
-    """What a keeper's log of so many changes holds in memory and on disk."""
+    """Measure the memory and disk space of a keeper's log, by the number of changes."""
 
     class Machine:
         name = "keep"
@@ -147,12 +147,12 @@
             log.put([{"i": 2 * at + 1, "t": 1, "c": {"op": "stage", "base": at, "doc": doc, "by": "", "id": str(at)}}])
             log.put([{"i": 2 * at + 2, "t": 1, "c": {"op": "activate", "sequence": at + 1}}])
 
-    memory = measure_memory(fill)[1] - disk.size()  # the disk is in memory here
+    memory = measure_memory(fill)[1] - disk.size()  # the simulated disk is in memory
     return {"memory": memory, "disk bytes": disk.size()}
 
 
 class ModelReply:
-    """A replica's whole answer: a head, and events one by one."""
+    """A complete response of a replica: a head, then single events."""
 
     status, reason, headers = 200, "OK", {"Content-Type": "text/event-stream"}
 
@@ -171,7 +171,7 @@
 
 
 class AnsweringProtocol:
-    """Answers every send at once; the formats of a platform are not counted here."""
+    """Answers every request at once; the cost of the platform's formats is not included."""
 
     def __init__(self, events, inner):
         self.events, self.inner = events, inner
@@ -181,7 +181,7 @@
 
     def prefill(self, environment, ask, place, left, read, ready, urgency):
         ready()
-        return None  # the writer reads for itself: no free is left behind
+        return None  # the decode replica prefills for itself, so no handle needs a release
 
     def decode(self, environment, ask, place, handle, left, read, ready, after, urgency, recent_only):
         ready()
@@ -189,7 +189,7 @@
 
 
 def requests(replicas, events=0):
-    """Processor time of one delivered request: from the front's call to the end of its body, no socket."""
+    """Measure the processor time of one request, from the front's call to the end of the body, without sockets."""
     size = design.Size(routers=2, replicas=replicas)
     fleet = fleet_module.ModelFleet("requests", size).ready()
     router = fleet.routers()[0]
@@ -211,7 +211,7 @@
 
     request_s = mean_processor_s(run_request)
     if count[1] < count[0] * max(1, events):
-        raise RuntimeError("a hollow request was not answered whole")
+        raise RuntimeError("a modelled request did not get a complete answer")
     ask = route_front.RoutedRequest(
         "t",
         "POST",
--- a/tools/load_model/protocol.py
+++ b/tools/load_model/protocol.py
@@ -1,7 +1,6 @@
-"""How a hollow fleet speaks: the list and requests in our own words, over memory.
+"""The replica protocol of the load model, in memory.
 
-It stands where an adapter to a platform stands; what that one's formats cost beside
-is not counted here.
+It replaces the adapter to a platform; the cost of the platform's formats is not included.
 """
 
 import mothshed.http.http_client as http_client
@@ -12,7 +11,7 @@
     tenant_field, system_fields = "x-tenant-name", frozenset()
 
     def rows(self, environment, url):
-        """The list, all its pages: name -> row."""
+        """Return all pages of the replica list as {name: row}."""
         rows, page = {}, 0
         while page is not None:
             status, body = environment.web.poll("GET", f"{url}/list/p-{page}")
--- a/tools/load_model/real.py
+++ b/tools/load_model/real.py
@@ -1,4 +1,4 @@
-"""Trials on the real thing where hollow processes prove nothing: memory, threads, sockets."""
+"""Trials on real processes, for what the load model does not include: memory, threads, sockets."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 
 
 def memory_and_threads(pid="self"):
-    """Resident KiB and threads of a process."""
+    """Return the resident KiB and the number of threads of a process."""
     with open(f"/proc/{pid}/status") as status_file:
         rows = dict(row.split(":", 1) for row in status_file)
     return int(rows["VmRSS"].split()[0]), int(rows["Threads"])
@@ -27,12 +27,12 @@
 
 
 def idle_router(replicas, tenants):
-    """Resident KiB of one router process, step by step, nothing served yet."""
+    """Measure the resident KiB of an idle router process after each step of its start."""
     bare = memory_and_threads()
     import mothshed.constants as constants
     import mothshed.data_plane.router as router_module
-    import mothshed.programs.daemon_flags  # noqa: F401 (weighed: what the program itself imports beside)
-    import tools.load_model.design as design  # after the bare figure
+    import mothshed.programs.daemon_flags  # noqa: F401 (included in the memory: the program imports it as well)
+    import tools.load_model.design as design  # imported after the first measurement
     import tools.load_model.protocol as protocol_module
 
     loaded = memory_and_threads()
@@ -58,7 +58,7 @@
     router.replicas.update_list(rows)
     listed = memory_and_threads()
     text = json.dumps(design.document(size))
-    for sequence in (1, 2):  # the one in force and one that is staged
+    for sequence in (1, 2):  # the active document and a staged one
         router.lease.docs[sequence] = json.loads(text)
     held = memory_and_threads()
     return {
@@ -73,7 +73,7 @@
 
 
 def connections(count):
-    """Resident KiB and threads that so many peers cost one process: a real connection to each."""
+    """Measure the resident KiB and threads of a process with real connections to count peers."""
     address = f"127.0.0.1:{free_port()}"
     own_peers = peers.Peers(address)
     received = []
@@ -94,7 +94,7 @@
         own_peers.send(sender, "paid", request="r" * 40, replica="i-1")
     time.sleep(0.3)
     after = memory_and_threads()
-    files = len(os.listdir("/proc/self/fd")) - count  # this trial's own ends are not the process's
+    files = len(os.listdir("/proc/self/fd")) - count  # without the client ends of this trial
     return {
         "resident KiB": after[0] - before[0],
         "threads": after[1] - before[1],
@@ -104,7 +104,7 @@
 
 
 def records_between(body_bytes, duration_s=1.5):
-    """Processor time of one record from one real process part to another and back, both ends in it."""
+    """Measure the processor time of a record between two real sockets, for both ends together."""
     ends = [f"127.0.0.1:{free_port()}" for _ in range(2)]
     shared_timers, event = timers.Timers(), threading.Event()
     environments = [environment_module.Environment(shared_timers, peers.Peers(at), at) for at in ends]
@@ -118,7 +118,7 @@
         event.clear()
         environments[0].send(ends[1], "paid", request=text, replica="i")
         if not event.wait(5):
-            raise RuntimeError("a record was lost on the local host")
+            raise RuntimeError("a record was lost on the loopback interface")
 
     for _ in range(20):
         once()
@@ -126,7 +126,7 @@
     while time.monotonic() < deadline:
         once()
         count += 1
-    # sending and receiving are half each of one way; a way and back is two of each
+    # a round trip is two records, each sent and received once
     return {
         "processor a record": (time.process_time() - started_at) / count / 2,
         "records": 2 * count,
--- a/tools/load_model/sweeps.py
+++ b/tools/load_model/sweeps.py
@@ -1,6 +1,6 @@
-"""Which trials are run, along what and at which sizes, and which slopes are read from them."""
+"""The sweeps: their trials and sizes, and the slopes that are fitted to their figures."""
 
-ROUTER_LOAD_RPS = 30.0  # requests a second and router: the design's 12,000 over 400
+ROUTER_LOAD_RPS = 30.0  # requests per second and router: 12,000 over 400 routers
 FULL = {
     "routers": ("trials", "steady", [{"size": {"routers": n}} for n in (50, 100, 200, 400)]),
     "replicas": (
@@ -45,8 +45,8 @@
     "tenants": ("parts", "documents", [{"tenants": n} for n in (10, 20, 30, 40)]),
     "cuts": ("trials", "region_cut", [{"whose": "south", "routers": 9}]),
 }
-# where each sweep's line is read for the size to design for; a log holds 128 changes
-# between snapshots, 32 behind the last one, and that one 32 documents older still
+# value of each sweep at the design size; a log holds 128 changes between snapshots and 32 behind
+# the last one, which itself holds 32 older documents
 DESIGN = {
     "routers": 400,
     "replicas": 770,
@@ -59,7 +59,7 @@
     "connections": 402,
     "record bytes": 100,
 }
-# (figure, sweep, where it stands in a trial's figures, unit)
+# (figure, sweep, path in the figures of a trial, unit)
 SLOPES = [
     ("router: records sent a second", "routers", ("router", "sent records"), "a second"),
     ("router: gossip bytes sent", "routers", ("router", "sent bytes, gossip"), "B/s"),
@@ -108,7 +108,7 @@
 
 
 def varied_value(arguments):
-    """The number that a sweep's trial differs by."""
+    """Return the argument that varies between the trials of a sweep."""
     if "size" not in arguments:
         return next(n for k, n in arguments.items() if k != "replicas" or len(arguments) == 1)
     size = arguments["size"]
--- a/tools/load_model/trial_process.py
+++ b/tools/load_model/trial_process.py
@@ -21,4 +21,4 @@
 
 if __name__ == "__main__":
     print(json.dumps(run(sys.argv[1], sys.argv[2], json.loads(sys.argv[3]))), flush=True)
-    os._exit(0)  # a front's threads would wait for requests that never come
+    os._exit(0)  # the threads of a front would wait for requests forever
--- a/tools/load_model/trials.py
+++ b/tools/load_model/trials.py
@@ -1,6 +1,6 @@
-"""Trials on whole hollow fleets: each takes one size and returns its figures, a second and node.
+"""Trials on whole modelled fleets: each takes a size and returns figures per second and node.
 
-Every trial runs in a process of its own, so that memory is that of one fleet.
+Every trial runs in its own process, so that the measured memory is that of one fleet.
 """
 
 import os
@@ -9,17 +9,17 @@
 import tools.load_model.design as design
 import tools.load_model.fleet as fleet_module
 
-MEASURED_S = 6.0  # simulated s that are measured: a dozen shuffles of each router, so that their spread evens out
+MEASURED_S = 6.0  # simulated; a dozen gossip rounds of each router, which averages out their variation
 
 
 def resident_bytes():
-    """Bytes of memory this process holds now."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm") as file:
         return int(file.read().split()[1]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def per_node(accounts, role, count, span):
-    """Records, bytes and processor time a second of one node of a role, whole and by part."""
+    """Return records, bytes and processor time per second of one node of a role, in total and by part."""
     figures = {
         "sent records": accounts.total(accounts.sent_records, role) / count / span,
         "sent bytes": accounts.total(accounts.sent_bytes, role) / count / span,
@@ -36,7 +36,7 @@
 
 
 def steady(size, seed="capacity"):
-    """A fleet that runs, with what the size says under way: (router's figures, keeper's, state)."""
+    """Measure a fleet in steady operation with the requests of the size, then one configuration change."""
     before = resident_bytes()
     fleet = fleet_module.ModelFleet(seed, size).ready()
     fleet_bytes = resident_bytes() - before
@@ -58,7 +58,7 @@
         / MEASURED_S,
         "faults": len(fleet.loop.errors),
     }
-    # the keepers' sum is given whole: the leader of all parts may be one of them
+    # the keepers are summed, not averaged, because one of them may lead all parts
     return {
         "router": per_node(accounts, "route", size.routers, MEASURED_S),
         "keepers": per_node(accounts, "keep", 1, MEASURED_S),
@@ -68,11 +68,11 @@
 
 
 def measure_change(fleet):
-    """One change of the configuration: what it costs and when every router may send under it."""
+    """Measure the cost of one configuration change and the time until it is in force on every router."""
     fleet.accounts.clear()
     started_at, results, size = fleet.loop.time, [], fleet.size
     fleet.apply(lambda result: results.append((result, fleet.loop.time)))
-    fewest_leased = size.routers  # routers with a lease of any sequence, at the worst moment
+    fewest_leased = size.routers  # routers with a lease of any sequence, at the worst moment of the change
     while fleet.in_force(fleet.applied) < size.routers and fleet.loop.time < started_at + 20:
         fleet.run(0.01)
         fewest_leased = min(fewest_leased, fleet.in_force(1))
@@ -95,9 +95,9 @@
 
 
 def charged_change(size, seed="capacity", timeout_s=30.0):
-    """A change while every event keeps its machine busy for the processor time it took here.
+    """Measure a change while every event keeps its machine busy for its processor time.
 
-    So a leader that packs hundreds of documents is late with its heartbeats, as a real one is.
+    A leader that packs hundreds of documents is then late with its heartbeats, as in a real deployment.
     """
     fleet = fleet_module.ModelFleet(seed, size).ready()
     fleet.loop.charges_processor_time = True
@@ -126,10 +126,10 @@
 
 
 def region_cut(routers=60, shared=False, whose="south", seed="cut"):
-    """A region is cut off and the configuration changes right after; some seconds later it heals.
+    """Partition a region, change the configuration right after, and heal the partition some seconds later.
 
-    shared: all keepers stand in the north, else one in each region. whose: the region that is
-    cut off, "leader" for the one where the configuration's leader stands.
+    shared: all keepers are in the north, otherwise one in each region. whose: the partitioned region,
+    or "leader" for the region of the configuration leader.
     """
     size = design.Size(routers=routers, replicas=42, models=21, tenants=24)
     fleet = fleet_module.ModelFleet(seed, size, shared).ready()
