--- a/tools/load_model/accounts.py
+++ b/tools/load_model/accounts.py
@@ -29,8 +29,8 @@
     def total(self, table, role, kinds=None):
         return sum(
             count
-            for (owner_role, kind), count in table.items()
-            if owner_role == role and (kinds is None or kind in kinds)
+            for (node_role, kind), count in table.items()
+            if node_role == role and (kinds is None or kind in kinds)
         )
 
 
--- a/tools/load_model/fits.py
+++ b/tools/load_model/fits.py
@@ -10,10 +10,12 @@
     """
     import numpy  # imported here because, like matplotlib, only plots and fits need requirements-tools.txt
 
-    x, y = (numpy.array([point[index] for point in points], dtype=float) for index in (0, 1))
-    slope, constant = numpy.linalg.lstsq(numpy.stack([x, numpy.ones_like(x)], axis=1), y, rcond=None)[0]
-    residuals = y - (slope * x + constant)
-    mean_abs = abs(float(numpy.mean(y)))
+    x_values, y_values = (numpy.array([point[index] for point in points], dtype=float) for index in (0, 1))
+    slope, constant = numpy.linalg.lstsq(
+        numpy.stack([x_values, numpy.ones_like(x_values)], axis=1), y_values, rcond=None
+    )[0]
+    residuals = y_values - (slope * x_values + constant)
+    mean_abs = abs(float(numpy.mean(y_values)))
     # error: root mean square of the residuals relative to the mean of the points
     return {
         "slope": float(slope),
@@ -24,8 +26,8 @@
     }
 
 
-def value_at(fitted, x):
-    return fitted["slope"] * x + fitted["constant"]
+def value_at(fitted, size):
+    return fitted["slope"] * size + fitted["constant"]
 
 
 def plot(path, name, along, unit, points, fitted):
@@ -37,9 +39,9 @@
     import matplotlib.pyplot as pyplot
 
     figure, axes = pyplot.subplots(figsize=(3.6, 2.4))
-    x = [point[0] for point in points]
-    axes.plot(x, [point[1] for point in points], "o")
-    axes.plot([0, max(x)], [fitted["constant"], value_at(fitted, max(x))], "-", linewidth=1)
+    x_values = [point[0] for point in points]
+    axes.plot(x_values, [point[1] for point in points], "o")
+    axes.plot([0, max(x_values)], [fitted["constant"], value_at(fitted, max(x_values))], "-", linewidth=1)
     axes.set_title(name, fontsize=8)
     axes.set_xlabel(along, fontsize=8)
     axes.set_ylabel(unit, fontsize=8)
