--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,10 +1,10 @@
-"""Passes over the tests that KNOWN-RED.txt names, and prints them; a pytest plugin.
+"""Pytest plugin that deselects the tests listed in KNOWN-RED.txt and prints them after the run.
 
-A line reads `test id, cause, issue`. A test id is one as pytest prints it; without its
-[parameters] it stands for all of that test's. --deselect would take every id that only
-begins alike, so ids are compared whole here. A line that is not in three parts, or whose
-test is not among those collected from its file, ends the run: such a list is mended, not
-believed. A missing or empty file changes nothing.
+Each line has the form `test id, cause, issue`. The test id is the one that pytest prints; without
+[parameters] it covers every parameter set of that test. The plugin compares whole ids, because
+--deselect matches by prefix. The run ends with a usage error if a line does not have three parts, an
+id occurs twice, a test is not among those collected from its file, or its test file does not exist. A
+missing or empty list has no effect.
 """
 
 import pathlib
@@ -15,63 +15,63 @@
 LINE = re.compile(r"(?P<test>[^,\[]+::[^,\[]+(?:\[.*?\])?),\s*(?P<cause>.*\S)\s*,\s*(?P<issue>[^,]*\S)\s*")
 
 
-class ListFault(Exception):
-    """A list of known red tests that can't be read."""
+class KnownRedFormatError(Exception):
+    """KNOWN-RED.txt has a malformed line or a duplicate test id."""
 
 
-def rows(text):
+def parse_entries(text):
     r"""Map each test id to its cause and issue.
 
-    >>> rows("tests/a.py::test_x[1, 2], late, by 3 s, issue 4\n\n")
+    >>> parse_entries("tests/a.py::test_x[1, 2], late, by 3 s, issue 4\n\n")
     {'tests/a.py::test_x[1, 2]': ('late, by 3 s', 'issue 4')}
     """
-    found = {}
+    entries = {}
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip():
             match = LINE.fullmatch(line.strip())
-            if not match or match["test"] in found:
-                raise ListFault(f"KNOWN-RED.txt:{number}: expected one `test id, cause, issue`, got {line!r}")
-            found[match["test"]] = (match["cause"], match["issue"])
-    return found
+            if not match or match["test"] in entries:
+                raise KnownRedFormatError(f"KNOWN-RED.txt:{number}: expected one `test id, cause, issue`, got {line!r}")
+            entries[match["test"]] = (match["cause"], match["issue"])
+    return entries
 
 
-def listed(config):
-    """Read the list at the root, if there is one."""
+def read_known_red(config):
+    """Read KNOWN-RED.txt from the root folder of the test run; a missing file counts as empty."""
     path = pathlib.Path(config.rootpath) / "KNOWN-RED.txt"
     try:
-        return rows(path.read_text() if path.exists() else "")
-    except ListFault as e:
-        raise pytest.UsageError(str(e)) from e
+        return parse_entries(path.read_text() if path.exists() else "")
+    except KnownRedFormatError as error:
+        raise pytest.UsageError(str(error)) from error
 
 
 def pytest_collection_modifyitems(config, items):
-    """Take the listed tests out of the run; end it where the list names none of ours."""
-    known, seen, rest, out = listed(config), set(), [], []
+    """Deselect the listed tests; raise a usage error if a listed test does not exist."""
+    known, matched, selected, deselected = read_known_red(config), set(), [], []
     for item in items:
         names = {item.nodeid, item.nodeid.partition("[")[0]} & set(known)
-        seen |= names
-        (out if names else rest).append(item)
+        matched |= names
+        (deselected if names else selected).append(item)
     files = {item.nodeid.partition("::")[0] for item in items}
     unknown = [
         test
         for test in known
-        if test not in seen
+        if test not in matched
         and (test.partition("::")[0] in files or not (config.rootpath / test.partition("::")[0]).exists())
     ]
     if unknown:
         raise pytest.UsageError("KNOWN-RED.txt names no test of ours: " + ", ".join(unknown))
-    if out:
-        config.hook.pytest_deselected(items=out)
-        items[:] = rest
-    config.stash[PASSED_OVER] = [
-        (item.nodeid, known.get(item.nodeid) or known[item.nodeid.partition("[")[0]]) for item in out
+    if deselected:
+        config.hook.pytest_deselected(items=deselected)
+        items[:] = selected
+    config.stash[DESELECTED_TESTS] = [
+        (item.nodeid, known.get(item.nodeid) or known[item.nodeid.partition("[")[0]]) for item in deselected
     ]
 
 
-PASSED_OVER = pytest.StashKey()
+DESELECTED_TESTS = pytest.StashKey()
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    """Print each test that was passed over, with its cause and issue."""
-    for test, (cause, issue) in config.stash.get(PASSED_OVER, []):
+    """Print each deselected test with its cause and issue."""
+    for test, (cause, issue) in config.stash.get(DESELECTED_TESTS, []):
         terminalreporter.write_line(f"KNOWN RED, passed over: {test} ({cause}; {issue})")
