--- a/mothshed/data_plane/__init__.py
+++ b/mothshed/data_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The data_plane library of mothshed; docs/design.md says what belongs here."""
+"""The router: admission, placement, and delivery of requests to replicas. docs/design.md defines the scope."""
