--- a/mothshed/control_plane/__init__.py
+++ b/mothshed/control_plane/__init__.py
@@ -1,1 +1,1 @@
-"""The control_plane library of mothshed; docs/design.md says what belongs here."""
+"""Leader election, log replication and the state machines of the keepers. docs/design.md defines the scope."""
