--- a/mothshed/replicas/__init__.py
+++ b/mothshed/replicas/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of replicas: the list, their load and condition, the verdict on a send, who leads each service part."""
+"""State of the replicas: list, load, health, send verdicts, and the known leader of each service part."""
