--- a/mothshed/configuration/__init__.py
+++ b/mothshed/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What operators say: settings, the configuration document and its changes, manifests, the lease."""
+"""Operator input: settings, the configuration document and its changes, manifests, tenant keys, the lease."""
