--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools beside the daemons: fleet, stand-ins, checker, simulator, runbooks."""
+"""Tools beside the daemons: fleet runner, stand-ins, checkers, simulator, load model, runbooks."""
