--- a/tools/simulator/__init__.py
+++ b/tools/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The deterministic simulator: product code under an injected clock, network and disk."""
+"""Deterministic simulator: runs product code with an injected clock, network and disk."""
