--- a/tools/hollow/__init__.py
+++ b/tools/hollow/__init__.py
@@ -1,1 +1,1 @@
-"""Hollow processes: the product's own code, many nodes in one process, on a network in memory."""
+"""Load model: runs the product code of many nodes in one process on an in-memory network."""
