--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""Rules of the tree that a parser can check: imports, coroutines, constants, docstrings."""
+"""Source rules checked on the syntax tree: imports, coroutines, constants, docstrings."""
 
 import ast
 import pathlib
@@ -9,33 +9,33 @@
 CONSTANTS = sorted((ROOT / "mothshed").rglob("constants.py"))
 ALL = sorted(p for d in ("mothshed", "tools", "tests") for p in (ROOT / d).rglob("*.py"))
 
-# Units by which a constant's name may end; plurals are what it counts.
+# Units allowed as the suffix of a constant's name; a plural names the items counted.
 NAMED_UNITS = (
     *("PER_S", "S", "BYTES", "CHARS", "TOKENS", "RATIO", "COUNT", "SLOTS", "HALF_LIVES", "LINES", "MESSAGES"),
     *("ENTRIES", "ROUNDS", "PROOFS", "FAILURES", "MEMBERS", "DOCUMENTS", "ORDERS", "REQUESTS", "CHECKS", "CHANGES"),
     *("PROBES", "THREADS", "KEYS", "ATTEMPTS", "ROUTERS", "LENDERS", "CONNECTIONS", "POOLS", "EVENTS", "PARTS"),
     *("RELEASES", "PROCESSES", "NEIGHBOURS", "SHUFFLES", "HINTS", "REDIALS", "ADDRESSES", "RECORDS"),
 )
-# Units that stand at the beginning of the comment, before a semicolon, where the name can't carry them.
+# Units that a comment states first, followed by a semicolon, where the name has no unit suffix.
 COMMENTED_UNITS = ("number", "part number", "rank", "requests squared")
 
 
-def trees(files):
+def parse_files(files):
     return [(p.name, ast.parse(p.read_text())) for p in files]
 
 
 def test_no_from_imports():
-    assert [n for n, t in trees(ALL) for node in ast.walk(t) if isinstance(node, ast.ImportFrom)] == []
+    assert [n for n, t in parse_files(ALL) for node in ast.walk(t) if isinstance(node, ast.ImportFrom)] == []
 
 
 def test_no_coroutines():
     kinds = (ast.AsyncFunctionDef, ast.Await, ast.AsyncFor, ast.AsyncWith)
-    assert [n for n, t in trees(FILES) for node in ast.walk(t) if isinstance(node, kinds)] == []
+    assert [n for n, t in parse_files(FILES) for node in ast.walk(t) if isinstance(node, kinds)] == []
 
 
-def test_constants_stand_in_one_place():
+def test_numeric_constants_are_defined_in_constants_files_only():
     found = []
-    for name, tree in trees(FILES):
+    for name, tree in parse_files(FILES):
         for node in tree.body:
             if (
                 isinstance(node, ast.Assign)
@@ -47,13 +47,13 @@
     assert found == []
 
 
-def test_no_constant_stands_in_two_files():
+def test_no_constant_is_defined_twice():
     names = [name for path in CONSTANTS for name in re.findall(r"^([A-Z_]+) = ", path.read_text(), re.M)]
     assert len(CONSTANTS) == 2 and len(names) == len(set(names)) > 200
 
 
 def unit_of(line):
-    """The unit that a constant's definition states: by the ending of its name or as the first words of its comment."""
+    """Return the unit of a constant, from the suffix of its name or the first words of its comment, or None."""
     name, comment = line.partition(" = ")[0], line.partition("#")[2].strip()
     return next((unit for unit in NAMED_UNITS if name.endswith("_" + unit)), None) or next(
         (unit for unit in COMMENTED_UNITS if comment.startswith(unit + "; ")), None
@@ -65,11 +65,11 @@
     assert len(lines) > 200 and [line for line in lines if unit_of(line) is None] == []
 
 
-def test_a_constant_without_a_listed_unit_is_found():
+def test_a_constant_without_a_listed_unit_is_reported():
     assert unit_of("IDLE_TIMEOUT = 4.0  # idle time of a connection that is used again") is None
     assert unit_of("IDLE_TIMEOUT = 4.0  # s") is None and unit_of("S = 4.0") is None
     assert unit_of("IDLE_TIMEOUT_S = 4.0") == "S" and unit_of("FIRST_RANK = 0  # rank; the first") == "rank"
 
 
-def test_every_file_begins_with_a_paragraph():
-    assert [n for n, t in trees(ALL) if t.body and not ast.get_docstring(t)] == []
+def test_every_file_has_a_docstring():
+    assert [n for n, t in parse_files(ALL) if t.body and not ast.get_docstring(t)] == []
