--- a/tests/test_names.py
+++ b/tests/test_names.py
@@ -1,4 +1,4 @@
-"""Names and type hints: standard terms, whole words, complete signatures; lists of what is not yet so."""
+"""Checks of names and type hints: standard terms, no single letters, full annotations; exceptions are listed."""
 
 import ast
 import json
@@ -9,10 +9,10 @@
 
 ROOT = pathlib.Path(__file__).parent.parent
 LISTS = json.loads((ROOT / "tests" / "not_yet_renamed.json").read_text())
-# entries in not_yet_renamed.json: lower a number when an entry goes, never raise it
+# number of entries in not_yet_renamed.json: lower it when an entry is removed, never raise it
 LISTED_AT_MOST = {"metaphors": 26, "single_letters": 5, "without_hints": 499}
-SHORT_LOOP = 5  # lines; within a loop of at most so many a single letter may count or hold the item
-# words of the withdrawn house style -> the standard term that a new name uses
+SHORT_LOOP = 5  # lines; in a for loop of at most this length the loop variable may be a single letter
+# figurative word -> standard term to use instead
 METAPHORS = {
     "beat": "heartbeat, interval",
     "bearing": "load",
@@ -32,7 +32,7 @@
     "told": "sent, notified",
     "usage": "load",
 }
-STANDARD = ("lease_holder",)  # standard terms that contain one of the words above
+STANDARD = ("lease_holder",)  # standard terms that contain a refused word
 REFUSED = re.compile(rf"(?:^|_)({'|'.join(METAPHORS)})s?(?=_|$)")
 FUNCTIONS = (ast.FunctionDef, ast.AsyncFunctionDef)
 COMPREHENSIONS = (ast.ListComp, ast.SetComp, ast.DictComp, ast.GeneratorExp)
@@ -49,7 +49,7 @@
 
 
 def defined_names(node):
-    """Give the names that one node defines: of functions, classes, arguments, variables and attributes."""
+    """Yield the function, class, argument, variable and attribute names that one node defines."""
     if isinstance(node, (*FUNCTIONS, ast.ClassDef)):
         yield node.name
     if isinstance(node, (*FUNCTIONS, ast.Lambda)):
@@ -72,7 +72,7 @@
 
 
 def single_letters(tree):
-    """Give single-letter names outside comprehensions, lambdas and short loops; `_` is for what is not used."""
+    """Return single-letter names outside comprehensions, lambdas and short loops, except `_` for unused values."""
     found = set()
 
     def visit(node, short):
@@ -92,7 +92,7 @@
 
 
 def without_hints(tree):
-    """Give the functions whose signature is not annotated in full."""
+    """Return the functions whose signature is not fully annotated."""
     found = set()
     for node in ast.walk(tree):
         if isinstance(node, FUNCTIONS):
@@ -110,7 +110,7 @@
 
 
 def findings(check):
-    """Map each file to its sorted findings, files without any left out."""
+    """Map each file that has findings to its sorted findings."""
     function, folders = CHECKS[check]
     rows = {path.relative_to(ROOT).as_posix(): function(ast.parse(path.read_text())) for path in sources(*folders)}
     return {name: sorted(found) for name, found in rows.items() if found}
