--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -1,4 +1,4 @@
-"""Calls a WSGI application as a server would, and returns (status, headers, body)."""
+"""Calls a WSGI application in process and returns (status, headers, body); a JSON body is decoded."""
 
 import io
 import json
@@ -15,13 +15,13 @@
     environ.update({"HTTP_" + k.upper().replace("-", "_"): v for k, v in dict(headers).items()})
     response = {}
 
-    def start(status, header_rows):
+    def start_response(status, header_rows):
         response.update(status=int(status.split()[0]), headers={k.lower(): v for k, v in header_rows})
 
-    pieces = app(environ, start)
-    content = b"".join(pieces)
-    if hasattr(pieces, "close"):
-        pieces.close()
+    chunks = app(environ, start_response)
+    content = b"".join(chunks)
+    if hasattr(chunks, "close"):
+        chunks.close()
     return (
         response["status"],
         response["headers"],
