--- a/tools/hollow/speech.py
+++ b/tools/load_model/protocol.py
@@ -1,26 +1,25 @@
-"""How a hollow fleet speaks: the list and requests in our own words, over memory.
+"""The replica protocol of the load model, in memory.
 
-It stands where an adapter to a platform stands; what that one's formats cost beside
-is not counted here.
+It replaces the adapter to a platform; the cost of the platform's formats is not included.
 """
 
 import mothshed.http.http_client as http_client
 
 
-class Speech:
+class ModelProtocol:
     reports_roles, announces_token = True, False
     tenant_field, system_fields = "x-tenant-name", frozenset()
 
     def rows(self, environment, url):
-        """The list, all its pages: name -> row."""
-        found, page = {}, 0
+        """Return all pages of the replica list as {name: row}."""
+        rows, page = {}, 0
         while page is not None:
-            status, said = environment.web.poll("GET", f"{url}/list/p-{page}")
+            status, body = environment.web.poll("GET", f"{url}/list/p-{page}")
             if status != 200:
                 raise http_client.ExchangeError(f"list status {status}", True)
-            found.update(said["rows"])
-            page = said["next"]
-        return found
+            rows.update(body["rows"])
+            page = body["next"]
+        return rows
 
     def read(self, headers):
         return {
@@ -34,5 +33,5 @@
     def release_handle(self, environment, handle):
         return True
 
-    def order_role(self, environment, place, role, standing, holder, sequence, ready=lambda: True):
+    def order_role(self, environment, endpoint, role, fencing_token, leader_id, sequence, ready=lambda: True):
         return False
