--- a/tests/test_disk.py
+++ b/tests/test_disk.py
@@ -173,7 +173,7 @@
 
 
 def test_the_faulty_disk_of_the_fleet_tests_fails_as_its_faults_file_says(tmp_path):
-    one = keep_on_bad_disk.BadDisk(tmp_path / "data")
+    one = keep_on_bad_disk.FaultyDisk(tmp_path / "data")
     faults = tmp_path / "data.faults"
     part = disk_log.PartLog(one, 1)
     part.put([entry(1)])
