--- a/tools/ablation.py
+++ b/tools/ablation.py
@@ -1,11 +1,14 @@
-"""What each mechanism is worth: switched off one by one, in a scratch copy, and played beside the full code.
+"""Measures what each mechanism adds to the worth, by running the code with that mechanism disabled.
+
+Each mechanism is disabled alone, in a scratch copy, and compared with the full code on the same runs.
 
     python -m tools.ablation --bench FLEETBENCH --scratch FOLDER --play SITE.toml=DAY[:SEED],... [--small]
         [--only NAME ...] [--jobs N] [--table ABLATION.md] [--picture ABLATION.svg]
 
-The scratch folder must not lie under /tmp: the played processes have one of their own. Every play leaves its
-entry in the copy's journal/. A mechanism's worth is the full code's worth less that without it, as a mean over the
-plays; the spread is the peak difference between two plays of the pairs. A change under 0.03 is noise.
+The scratch folder must not be under /tmp, because the processes of a run have a /tmp of their own. Every run adds
+an entry to the journal/ of its copy. What a mechanism adds is the worth of the full code minus the worth without
+the mechanism, averaged over the runs; the spread is the largest of these differences minus the smallest.
+A difference below 0.03 is noise.
 """
 
 import argparse
@@ -27,20 +30,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One day of one deployment, with one seed."""
+    """One scenario of one deployment, with one seed."""
 
     deployment: pathlib.Path
     day: str
-    seed: str  # "" for the day's own
+    seed: str  # "" for the default seed of the scenario
 
     def label(self) -> str:
-        """A short name for tables and files."""
+        """Return a short name for tables and file names."""
         return f"{self.deployment.stem} {self.day}" + (f" {self.seed}" if self.seed else "")
 
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """How plays are run."""
+    """Options that all runs share."""
 
     bench: pathlib.Path
     scratch: pathlib.Path
@@ -48,7 +51,7 @@
 
 
 def parse_runs(text: str) -> list[Run]:
-    """Read SITE=DAY[:SEED],... from a word of the command line; raises ValueError.
+    """Parse SITE=DAY[:SEED],... from a command-line argument; raises ValueError.
 
     >>> [(run.day, run.seed) for run in parse_runs("a.toml=quiet-1,trouble-1:7")]
     [('quiet-1', ''), ('trouble-1', '7')]
@@ -60,7 +63,7 @@
 
 
 def copy_tree(target: pathlib.Path) -> None:
-    """Copy what git tracks, without the journal; keep what an earlier build left under target/."""
+    """Copy the tracked files except the journal, and the dependencies of an earlier build in target/deps."""
     tracked = subprocess.run(["git", "ls-files", "-z"], cwd=ROOT, check=True, capture_output=True, text=True).stdout
     for name in tracked.split("\0"):
         if name and not name.startswith("journal/") and (ROOT / name).is_file():
@@ -72,7 +75,7 @@
 
 
 def prepare(name: str, options: Options) -> pathlib.Path:
-    """A copy of the code with one mechanism switched off, or with all of them, ready to be played."""
+    """Build a copy of the code, with the named mechanism disabled unless name is BASELINE; return its folder."""
     target = options.scratch / name.replace(" ", "-")
     copy_tree(target)
     if name != BASELINE:
@@ -88,7 +91,7 @@
 
 
 def run_once(name: str, folder: pathlib.Path, run: Run, options: Options) -> float | None:
-    """The worth of one play; None if it was not played, 0 if it broke a rule."""
+    """Return the worth of one run: None if it wrote no report, 0 if it broke a rule."""
     report = folder / f"report {run.label()}.json"
     arguments = [str(options.bench), "run", str(run.deployment), run.day, "--report", str(report)]
     arguments += ["--seed", run.seed] if run.seed else []
@@ -104,22 +107,22 @@
 
 @dataclasses.dataclass(frozen=True)
 class Row:
-    """What one mechanism is worth: the difference for each play that both played."""
+    """What one mechanism adds in each run that has a result both with and without it."""
 
     name: str
-    differences: dict[str, float]  # by the play's label
+    differences: dict[str, float]  # by the label of the run
 
     def mean(self) -> float:
-        """Mean worth over the plays; 0 if none was played."""
+        """Return the mean difference over the runs; 0 if there is none."""
         return statistics.fmean(self.differences.values()) if self.differences else 0.0
 
     def spread(self) -> float:
-        """Largest difference less the smallest."""
+        """Return the largest difference minus the smallest."""
         return max(self.differences.values()) - min(self.differences.values()) if self.differences else 0.0
 
 
 def summarize(worths: dict[tuple[str, str], float | None], runs: list[Run]) -> list[Row]:
-    """A row for each mechanism, the one worth most first."""
+    """Return a row for each mechanism, the largest mean difference first."""
     rows = []
     for name in sorted({name for name, _label in worths} - {BASELINE}):
         differences = {}
@@ -132,7 +135,7 @@
 
 
 def format_table(rows: list[Row], worths: dict[tuple[str, str], float | None], runs: list[Run]) -> str:
-    """The table in Markdown: the full code's worth, then what each mechanism adds to it."""
+    """Return a Markdown table: the worth of the full code, then what each mechanism adds to it."""
     labels = [run.label() for run in runs]
     lines = [f"| switched off | mean | spread | {' | '.join(labels)} |", "|---" * (len(labels) + 3) + "|"]
     baseline = [worths.get((BASELINE, label)) for label in labels]
@@ -148,7 +151,7 @@
 
 
 def render_svg(rows: list[Row]) -> str:
-    """An SVG: a bar for each mechanism, green for what it adds, red for what it costs."""
+    """Return an SVG with a bar for each mechanism: green if it adds worth, red if it costs worth."""
     peak = max([abs(row.mean()) for row in rows] + [0.01])
     middle, reach = LEFT + 120, WIDTH - LEFT - 180
     height = BAR_HEIGHT * (len(rows) + 1)
@@ -168,7 +171,7 @@
 
 
 def measure_all(names: list[str], runs: list[Run], options: Options, jobs: int) -> dict[tuple[str, str], float | None]:
-    """The worth of every play of every variant."""
+    """Return the worth of every run by variant and run label."""
     folders = {name: prepare(name, options) for name in names}
     worths: dict[tuple[str, str], float | None] = {}
     with concurrent.futures.ThreadPoolExecutor(jobs) as pool:
@@ -184,12 +187,12 @@
 
 
 def main() -> int:
-    """Play, print and write the table; 1 if something could not be played."""
-    parser = argparse.ArgumentParser(description="what each mechanism is worth")
+    """Run all variants and write the table; return 1 if a run gave no result."""
+    parser = argparse.ArgumentParser(description="measure what each mechanism adds to the worth")
     parser.add_argument("--bench", type=pathlib.Path, required=True)
     parser.add_argument("--scratch", type=pathlib.Path, required=True)
     parser.add_argument("--play", action="append", required=True, help="SITE.toml=DAY[:SEED],...")
-    parser.add_argument("--small", action="store_true", help="small twins of large days")
+    parser.add_argument("--small", action="store_true", help="run the small versions of large scenarios")
     parser.add_argument("--only", action="append", choices=list(mechanisms.MECHANISMS))
     parser.add_argument("--jobs", type=int, default=3)
     parser.add_argument("--table", type=pathlib.Path)
--- a/tools/lost_worth.py
+++ b/tools/lost_worth.py
@@ -1,10 +1,10 @@
-"""Where a day's worth was lost: by kind of request, moment, reason and price, from the bench's own report.
+"""Shows where a run lost worth: by kind of request, time, reason and price, from the report of the bench.
 
     python -m tools.lost_worth REPORT.json [--log LOG.txt] [--picture DAY.svg]
 
 REPORT.json is what `fleetbench run ... --report` writes. With --log, the output of the same run under `--log all`,
-the routers' own counters are added up: refusals by reason, late answers by the stage that took longest, failed
-sends by what they were. The picture shows every two seconds how requests ended.
+the counters of the routers are summed: refusals by reason, late answers by the slowest stage, failed sends by
+cause. The picture shows how the requests of every two seconds ended.
 """
 
 import argparse
@@ -16,8 +16,8 @@
 import typing
 
 COUNTERS = re.compile(r'\{.*"message_type": ?"counters".*\}')
-REASONS = ("refusal_", "late_", "send_failed_", "delivery_")  # prefixes of the counters that say why
-MIN_LISTED_PRICE = 0.002  # worth; cheaper prices are not listed
+REASONS = ("refusal_", "late_", "send_failed_", "delivery_")  # prefixes of the counters that give a reason
+MIN_LISTED_PRICE = 0.002  # worth; lower prices are not listed
 WIDTH, HEIGHT, MARGIN = 720, 220, 40  # pixels of the picture
 COLOURS = {"in aim": "#4c9a5f", "late": "#e0b040", "refused": "#c96a3b", "failed": "#a03040"}
 
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Group:
-    """How the requests of one kind, or of one span of seconds, ended."""
+    """Outcomes of the requests of one kind or of one time window."""
 
     name: str
     request_count: int
@@ -37,16 +37,16 @@
     worth: float
 
     def lost(self) -> float:
-        """Worth lost, in requests of this group's mean worth."""
+        """Return the lost worth; each request is worth at most 1."""
         return self.request_count * (1 - self.worth)
 
     def outcome_counts(self) -> dict[str, int]:
-        """The counts by how a request ended."""
+        """Return the number of requests by outcome."""
         return {"in aim": self.in_aim, "late": self.late, "refused": self.refused, "failed": self.failed}
 
 
 def parse_groups(rows: list[dict[str, typing.Any]]) -> list[Group]:
-    """The rows of one of the report's tables; those without requests are left out."""
+    """Parse the rows of a table of the report; rows without requests are left out."""
     return [
         Group(row["name"], row["n"], row["in_aim"], row["late"], row["refused"], row["failed"], row["worth"])
         for row in rows
@@ -55,7 +55,7 @@
 
 
 def sum_counters(log: str) -> collections.Counter[str]:
-    """The counters that say why, added up over all processes and lines."""
+    """Sum the counters that give a reason over all processes and log lines."""
     total: collections.Counter[str] = collections.Counter()
     for line in COUNTERS.findall(log):
         try:
@@ -69,7 +69,7 @@
 
 
 def format_table(title: str, rows: list[Group]) -> list[str]:
-    """Lines of a table, the group that lost most first."""
+    """Return the lines of a table, the group with the largest loss first."""
     total_loss = sum(row.lost() for row in rows) or 1.0
     lines = [f"{title:<18} asked  in aim    late refused  failed   worth  share of loss"]
     for row in sorted(rows, key=lambda row: -row.lost()):
@@ -81,7 +81,7 @@
 
 
 def format_account(report: Report, log: str = "") -> list[str]:
-    """The whole account of a day."""
+    """Return all lines of the account of one run."""
     lines = [f"worth {report['G']:.3f}: " + ", ".join(f"{name} {worth:.3f}" for name, _, worth in report["parts"])]
     lines += ["", *format_table("kind", parse_groups(report["classes"]))]
     lines += ["", *format_table("from second", parse_groups(report["windows"]))[:9], "", "not served, by the last try:"]
@@ -95,7 +95,7 @@
 
 
 def render_svg(report: Report) -> str:
-    """An SVG of how requests ended, in bars of two seconds."""
+    """Return an SVG with one bar of outcomes for each time window."""
     rows = parse_groups(report["windows"])
     largest = max((row.request_count for row in rows), default=1)
     step = (WIDTH - 2 * MARGIN) / max(1, len(rows))
@@ -118,10 +118,10 @@
 
 
 def main() -> None:
-    """Print the account and write the picture."""
-    parser = argparse.ArgumentParser(description="where a day's worth was lost")
+    """Print the account of the report and write the picture."""
+    parser = argparse.ArgumentParser(description="show where a run lost worth")
     parser.add_argument("report", type=pathlib.Path)
-    parser.add_argument("--log", type=pathlib.Path, help="what the run printed under --log all")
+    parser.add_argument("--log", type=pathlib.Path, help="output of the run under --log all")
     parser.add_argument("--picture", type=pathlib.Path, help="where to write an SVG")
     args = parser.parse_args()
     try:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -1,7 +1,7 @@
-"""The mechanisms of routing, admission, retries, placement, split, hints and orders, and how each is switched off.
+"""How to disable each mechanism of routing, admission, retries, placement, role changes, hints and orders.
 
-A mechanism is switched off in a copy of the source: a constant gets a value under which it never acts, or a line
-is replaced. `tests/test_ablation.py` checks that each of these still finds its place in the source.
+A mechanism is disabled in a copy of the source: a constant gets a value under which it has no effect, or a piece of
+text is replaced. `tests/test_ablation.py` checks that each of these changes still matches the source.
 """
 
 import dataclasses
@@ -16,56 +16,56 @@
 
 
 class StaleSwitchError(Exception):
-    """A switch that does not fit the source any more."""
+    """A change does not match the source any more."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ConstantChange:
-    """A constant that gets another value."""
+    """Sets a constant to another value."""
 
     name: str
     value: str
 
     def apply(self, root: pathlib.Path) -> None:
-        """Change it in a copy of the source; raises NotFound."""
+        """Apply the change to the source copy under root; raises StaleSwitchError."""
         path = root / CONSTANTS
         text, count = re.subn(rf"^{self.name} = [^#\n]*", f"{self.name} = {self.value}  ", path.read_text(), flags=re.M)
         if count != 1:
-            raise StaleSwitchError(self.name)
+            raise StaleSwitchError(f"{CONSTANTS}: expected one definition of {self.name}, found {count}")
         path.write_text(text)
 
 
 @dataclasses.dataclass(frozen=True)
 class TextReplacement:
-    """A piece of text in one file that is replaced by another."""
+    """Replaces a piece of text in one file."""
 
     path: str
     old: str
     new: str
 
     def apply(self, root: pathlib.Path) -> None:
-        """Change it in a copy of the source; raises NotFound unless it stands there once."""
+        """Apply the change to the source copy under root; raises StaleSwitchError unless old occurs exactly once."""
         path = root / self.path
         text = path.read_text()
         if text.count(self.old) != 1:
-            raise StaleSwitchError(f"{self.path}: {self.old!r}")
+            raise StaleSwitchError(f"{self.path}: expected {self.old!r} exactly once")
         path.write_text(text.replace(self.old, self.new))
 
 
 @dataclasses.dataclass(frozen=True)
 class Mechanism:
-    """One mechanism, and the changes that switch it off."""
+    """One mechanism: the changes to the source that disable it."""
 
     changes: tuple[ConstantChange | TextReplacement, ...]
 
     def switch_off(self, root: pathlib.Path) -> None:
-        """Switch it off in a copy of the source; raises NotFound."""
+        """Disable the mechanism in the source copy under root; raises StaleSwitchError."""
         for change in self.changes:
             change.apply(root)
 
 
 def set_constants(**values: str) -> Mechanism:
-    """A mechanism that these values of constants switch off."""
+    """Return a mechanism that is disabled by setting these constants."""
     return Mechanism(tuple(ConstantChange(name, value) for name, value in values.items()))
 
 
--- a/tools/outages.py
+++ b/tools/outages.py
@@ -1,10 +1,10 @@
-"""Finds seconds without service in the bench's printed reports of played days, also where no rule broke.
+"""Finds outages in the printed reports of the bench, including runs that broke no rule.
 
     python -m tools.outages REPORT.txt...
 
-An outage is a window of the table "from second" in which under two fifths of the requests were served,
-most of the others were refused, and the core was settled all the while. Each is a line: report, second,
-asked, served, refused. Exit status 1 if there is one: a day may keep every rule and still have one.
+An outage is a window of the table "from second" in which less than two fifths of the requests were served,
+most of the others were refused, and the control plane was settled throughout. Each outage is printed as a line:
+report, second, asked, served, refused. The exit status is 1 if there is any outage.
 """
 
 import argparse
@@ -13,16 +13,16 @@
 import re
 import sys
 
-MIN_SERVED_RATIO = 0.4  # share of a window's requests; below it the window is an outage
-MIN_WINDOW_REQUESTS = 8  # requests; a window with fewer says nothing
-WINDOW_S = 2.0  # s; how long a window of the table is
+MIN_SERVED_RATIO = 0.4  # of the requests of a window; a lower ratio is an outage
+MIN_WINDOW_REQUESTS = 8  # windows with fewer requests are ignored
+WINDOW_S = 2.0  # length of a window of the table
 UNSETTLED = re.compile(r"^the core was not settled: (.*)$", re.MULTILINE)
 ROWS = re.compile(r"^from second .*\n((?:\d.*\n)*)", re.MULTILINE)
 
 
 @dataclasses.dataclass(frozen=True)
 class Window:
-    """One row of the table: its first second and how its requests ended."""
+    """One row of the table: its first second and the outcomes of its requests."""
 
     second: float
     asked: int
@@ -30,13 +30,13 @@
     refused: int
 
     def is_outage(self) -> bool:
-        """Whether hardly anybody was served, by refusals and not by lateness or failures."""
+        """Return whether few requests were served, mostly because of refusals and not of failures."""
         mostly_unserved = self.asked >= MIN_WINDOW_REQUESTS and self.served < MIN_SERVED_RATIO * self.asked
         return mostly_unserved and 2 * self.refused > self.asked - self.served
 
 
 def unsettled_spans(report: str) -> list[tuple[float, float]]:
-    """When the core was not settled, as (from, to) in seconds; an open end is infinity.
+    """Return the times when the control plane was not settled, as (start, end) in seconds; an open end is inf.
 
     >>> unsettled_spans("the core was not settled: 4.5 to 7.500, 22.0 to -")
     [(4.5, 7.5), (22.0, inf)]
@@ -47,7 +47,7 @@
 
 
 def parse_windows(report: str) -> list[Window]:
-    """The rows of the table by seconds; none if the report has no such table."""
+    """Parse the rows of the table "from second"; an empty list if the report has no such table."""
     table = ROWS.search(report)
     found = []
     for row in table[1].splitlines() if table else ():
@@ -57,7 +57,7 @@
 
 
 def find_outages(report: str) -> list[Window]:
-    """The windows without service while the core was settled."""
+    """Return the windows with an outage while the control plane was settled."""
     unsettled = unsettled_spans(report)
     return [
         window
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Print the outages of all the reports that are named."""
+    """Print the outages of the given reports."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("reports", nargs="+", type=pathlib.Path)
     found = False
